--- a/benches/growth.rs
+++ b/benches/growth.rs
@@ -2,14 +2,14 @@
 //! each and are full with them; one in ten is empty, and arrays for a tenth of the fleet wait. Compare
 //! the rows of one bench with each other, not with those of another machine.
 
-use coppergw::hosts::model::{Host, HostState};
-use coppergw::hosts::{Outlook, decide};
+use coppergw::autoscaler::model::{Host, HostState};
+use coppergw::autoscaler::{Outlook, decide};
 use coppergw::ids::HostId;
 use coppergw::jobs::model::{Block, JobId, Placement, Record, Room, Slot, Spec};
-use coppergw::placement::{Open, Plan, Scene, plan};
 use coppergw::policy::Policy;
+use coppergw::scheduling::{Open, Plan, Scene, plan};
+use coppergw::store::cluster_state::View;
 use coppergw::store::keys;
-use coppergw::store::view::View;
 use coppergw::time::SECOND;
 use coppergw::wire::cloud::MachineType;
 use coppergw::wire::state::{Event, Item, Log, Page};
--- a/src/hosts/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -1,18 +1,18 @@
 //! Machines of the cloud: what to rent and what to return. The decisions are pure; the leader
 //! carries them out.
 
-pub mod lead;
 pub mod model;
+pub mod reconciler;
 
 use crate::ids::HostId;
 use crate::jobs::model::{Room, Spec};
-use crate::members::part_of;
-use crate::placement::{self, Plan, only_guests};
+use crate::membership::part_of;
 use crate::policy::Policy;
+use crate::quota;
+use crate::scheduling::{self, Plan, only_guests};
 use crate::settings::{Objective, ObjectiveKind, Team};
+use crate::store::cluster_state::{Job, View};
 use crate::store::keys;
-use crate::store::view::{Job, View};
-use crate::teams;
 use crate::time::{Micros, SECOND, from_secs};
 use crate::wire::cloud::MachineType;
 use crate::wire::state::{Change, Guard, Txn};
@@ -106,7 +106,7 @@
     all.sort_unstable();
     all.dedup();
     let count = all.len();
-    placement::keep_open(v, j, &mut all);
+    scheduling::keep_open(v, j, &mut all);
     (all.len() < count).then_some(all)
 }
 
@@ -534,7 +534,7 @@
         let key: Vec<&str> = types.iter().map(|t| t.sku.as_str()).collect();
         let zones = (lacking > 0).then(|| bound(v, j, &types)).flatten();
         let pool = pools.entry(key).or_insert_with(|| Pool::new(types));
-        let spot = placement::spot(j);
+        let spot = scheduling::spot(j);
         if s.spot && !spot {
             pool.waits += f64::from(soon) / per;
             pool.dear += f64::from(soon) / per;
@@ -582,7 +582,7 @@
             rank: s.rank,
             horizon: horizon(o, s, default) as f64 / 1e6,
             work: tasks * run / per,
-            limit: teams::at_once(o.teams, s, &elsewhere).map(|n| (&*s.team, n as f64 / per)),
+            limit: quota::at_once(o.teams, s, &elsewhere).map(|n| (&*s.team, n as f64 / per)),
         });
         if lacking > 0 && o.wall.saturating_sub(j.since) > OVERDUE {
             pool.overdue += whole;
--- a/src/hosts/lead.rs
+++ b/src/autoscaler/reconciler.rs
@@ -2,13 +2,13 @@
 
 use super::model::{Charter, Host, HostState, Leaving};
 use super::{Outlook, decide, mark_leaving, not_expected, put_host};
+use crate::controller::Node;
 use crate::ids::HostId;
-use crate::node::Node;
-use crate::placement::{self, Open, Plan, Scene};
+use crate::scheduling::{self, Open, Plan, Scene};
 use crate::settings::StateLimits;
 use crate::store::client::Outcome;
+use crate::store::cluster_state::View;
 use crate::store::keys;
-use crate::store::view::View;
 use crate::time::{Micros, SECOND, from_secs, wall};
 use crate::wire::cloud::{HOSTS, HostStatus, Names, Page, RETURN, Rental, TYPES, Types};
 use crate::wire::state::{Change, Guard, Txn};
@@ -159,10 +159,10 @@
             mem.idle_since.retain(|id, _| {
                 view.hosts
                     .get(id)
-                    .is_some_and(|h| placement::only_guests(&view, id, h))
+                    .is_some_and(|h| scheduling::only_guests(&view, id, h))
             });
             for (id, h) in &view.hosts {
-                if h.state == HostState::Up && placement::only_guests(&view, id, h) {
+                if h.state == HostState::Up && scheduling::only_guests(&view, id, h) {
                     mem.idle_since.entry(id.clone()).or_insert(wall);
                 }
             }
@@ -204,7 +204,7 @@
     pub fn forecast(&self, view: &View, booting: bool) -> Plan {
         let wall = wall();
         let late = not_expected(view, wall, &|id| self.known_up(id));
-        placement::plan(&Scene {
+        scheduling::plan(&Scene {
             view,
             wall,
             teams: &self.settings.teams,
@@ -798,7 +798,7 @@
         };
         let c: &mut (u32, u32) = out.entry((&*h.kind, h.spot, state)).or_default();
         c.0 += 1;
-        c.1 += u32::from(placement::only_guests(v, id, h));
+        c.1 += u32::from(scheduling::only_guests(v, id, h));
     }
     out
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,7 +1,7 @@
 //! Command line.
 
+use crate::controller::Node;
 use crate::jobs::model::JobId;
-use crate::node::Node;
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::time::SECOND;
--- a/src/node.rs
+++ b/src/controller.rs
@@ -1,16 +1,16 @@
 //! The node: shared state, and the loops that bring what is to what is wanted.
 
-use crate::control::{Control, REQUEST_SHARE, WRITE_SHARE};
-use crate::fairness::served::Watch;
-use crate::hosts::lead::Rentals;
+use crate::autoscaler::reconciler::Rentals;
+use crate::fairness::service_levels::Watch;
 use crate::jobs::commit::Limits;
-use crate::members::Membership;
+use crate::membership::Membership;
 use crate::policy::Policy;
+use crate::reconciliation::{Control, REQUEST_SHARE, WRITE_SHARE};
 use crate::settings::{Settings, StateLimits};
 use crate::store::client::StoreClient;
-use crate::store::feed::Feed;
+use crate::store::cluster_state::View;
 use crate::store::keys;
-use crate::store::view::View;
+use crate::store::watch_cache::Feed;
 use crate::time::{Clock, Micros, dur, wall};
 use crate::wire::client::Client;
 use crate::wire::server::{Ask, Gauge, Reply, serve};
--- a/src/fairness/mod.rs
+++ b/src/fairness/mod.rs
@@ -1,8 +1,8 @@
 //! Fairness: the paper's control loop. Pending fractions, unfairness, raises.
 
-pub mod floor;
+pub mod minimum_share;
 pub mod rounds;
-pub mod served;
+pub mod service_levels;
 
 use crate::time::Micros;
 use serde::{Deserialize, Serialize};
--- a/src/fairness/rounds.rs
+++ b/src/fairness/rounds.rs
@@ -1,8 +1,8 @@
 //! Rounds: each controller writes its counts, the leader the raises.
 
-use super::served::table;
+use super::service_levels::table;
 use super::{Activity, Counts, JobCount, Raises, merge, round};
-use crate::node::Node;
+use crate::controller::Node;
 use crate::store::client::Outcome;
 use crate::store::keys;
 use crate::time::{Micros, wall};
--- a/src/fairness/served.rs
+++ b/src/fairness/service_levels.rs
@@ -1,10 +1,10 @@
 //! What share of each class and team is served, from the state alone: jobs that ended are added up in one
 //! value, the others are counted as they stand.
 
-use super::floor::patience;
+use super::minimum_share::patience;
 use super::rounds::fitting;
 use crate::settings::Objective;
-use crate::store::view::{Job, View};
+use crate::store::cluster_state::{Job, View};
 use crate::time::{Micros, SECOND};
 use foldhash::HashMap;
 use serde::{Deserialize, Serialize};
--- a/src/jobs/front.rs
+++ b/src/jobs/api.rs
@@ -3,13 +3,13 @@
 use super::commit::{acceptance, withdraw};
 use super::model::{Ids, JobId, Refusal, admit};
 use super::pipelines::{Named, answer, final_answer, named};
-use crate::fairness::served::table;
+use crate::controller::Node;
+use crate::fairness::service_levels::table;
 use crate::ids::HostId;
-use crate::node::Node;
-use crate::placement::why::{self, Reason, Why};
+use crate::scheduling::pending_reason::{self, Reason, Why};
 use crate::store::client::Outcome;
+use crate::store::cluster_state::{Job, View};
 use crate::store::keys;
-use crate::store::view::{Job, View};
 use crate::time::{SECOND, wall};
 use crate::wire::decode;
 use crate::wire::peer::{FORWARD, Forward, Forwarded, pack, unpack};
@@ -393,7 +393,7 @@
             .collect();
         move |id, j| {
             let n = fetching.get(id).copied().unwrap_or(0);
-            why::why(&plan, id, j, failed.contains(id), n)
+            pending_reason::why(&plan, id, j, failed.contains(id), n)
         }
     }
 
@@ -439,7 +439,9 @@
                 let rows = table(&v, &self.settings.objectives, wall());
                 Reply::with(200, &rows)
             }
-            "/inspect/jobs" => Reply::with(200, &why::count(&v, wall(), &self.reasons(&v))),
+            "/inspect/jobs" => {
+                Reply::with(200, &pending_reason::count(&v, wall(), &self.reasons(&v)))
+            }
             p if p.starts_with("/inspect/jobs/") => {
                 let id: JobId = p["/inspect/jobs/".len()..].into();
                 match v.jobs.get(&id) {
--- a/src/jobs/commit.rs
+++ b/src/jobs/commit.rs
@@ -5,9 +5,9 @@
 
 use super::model::{AnyRecord, BLOCK, Block, Final, Ids, JobId, Placement, Slot, Spec, Stored};
 use crate::ids::HostId;
-use crate::members::part_of;
+use crate::membership::part_of;
+use crate::store::cluster_state::{Job, View};
 use crate::store::keys;
-use crate::store::view::{Job, View};
 use crate::time::Micros;
 use crate::wire::state::{Change, Guard, Txn};
 use crate::wire::user::Shape;
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,6 +1,6 @@
 //! Jobs: what users submit, ask about and withdraw.
 
+pub mod api;
 pub mod commit;
-pub mod front;
 pub mod model;
 pub mod pipelines;
--- a/src/jobs/pipelines.rs
+++ b/src/jobs/pipelines.rs
@@ -1,7 +1,7 @@
 //! Pipelines: what a submission may wait for, and what is told of a job. Pure.
 
 use super::model::{Final, JobId};
-use crate::store::view::View;
+use crate::store::cluster_state::View;
 use crate::wire::user::{JobAnswer, Shape, Status};
 use std::collections::BTreeSet;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,15 +3,15 @@
 
 pub use coppergw_base::{ids, settings, time, wire};
 
+pub mod autoscaler;
 pub mod cli;
-pub mod control;
+pub mod controller;
 pub mod fairness;
-pub mod hosts;
 pub mod jobs;
-pub mod members;
-pub mod node;
-pub mod placement;
+pub mod membership;
 pub mod policy;
+pub mod quota;
+pub mod reconciliation;
+pub mod scheduling;
 pub mod store;
-pub mod teams;
 pub mod workers;
--- a/src/members/word.rs
+++ b/src/membership/cancellation_watermark.rs
@@ -12,7 +12,7 @@
 //! that is without the state service promises others that are as well to confirm nothing for a while, and
 //! keeps to it also when the service is back. A life that begins within that time vouches for the one before.
 
-use crate::store::view::View;
+use crate::store::cluster_state::View;
 use crate::time::{Micros, SECOND};
 use crate::wire::peer::{Hello, Word};
 use crate::wire::user::valid_id;
--- a/src/members/claim.rs
+++ b/src/membership/claim.rs
@@ -6,8 +6,8 @@
 //! later life sees that its claim does not stand, and makes it again.
 
 use super::{Leader, Member, PARTS, Part, assign, steady};
+use crate::store::cluster_state::View;
 use crate::store::keys;
-use crate::store::view::View;
 use crate::time::{Micros, SECOND};
 use crate::wire::state::{Change, Guard, Txn};
 use crate::wire::to_value;
--- a/src/members/keep.rs
+++ b/src/membership/keep.rs
@@ -1,14 +1,14 @@
 //! Keeping membership, leadership and parts; talking with peers.
 
+use super::cancellation_watermark::{Speaker, Words, bound_until, word};
 use super::claim::{self, Lead, Life};
-use super::word::{Speaker, Words, bound_until, word};
 use super::{Member, VERSION, Version, all_know};
-use crate::hosts::model::HostState;
+use crate::autoscaler::model::HostState;
+use crate::controller::Node;
 use crate::ids::HostId;
-use crate::node::Node;
 use crate::store::client::Outcome;
+use crate::store::cluster_state::View;
 use crate::store::keys;
-use crate::store::view::View;
 use crate::time::{MILLI, Micros, SECOND, wall};
 use crate::wire::peer::{Hello, PEER, pack, unpack};
 use crate::wire::server::Reply;
--- a/src/members/mod.rs
+++ b/src/membership/mod.rs
@@ -1,8 +1,8 @@
 //! Membership, leadership and ownership of parts.
 
+pub mod cancellation_watermark;
 pub mod claim;
 mod keep;
-pub mod word;
 
 pub use keep::{Membership, UP_MOST};
 
--- a/src/teams/mod.rs
+++ b/src/quota/mod.rs
@@ -2,7 +2,7 @@
 
 use crate::jobs::model::{JobId, Room, Spec};
 use crate::settings::Team;
-use crate::store::view::View;
+use crate::store::cluster_state::View;
 use crate::wire::user::{Rank, Shape};
 use foldhash::HashMap;
 
--- a/src/control/decide.rs
+++ b/src/reconciliation/decide.rs
@@ -3,7 +3,7 @@
 use crate::ids::HostId;
 use crate::jobs::commit::{Capped, Intent, Limits, Staged, stage};
 use crate::jobs::model::{JobId, Room, Slot};
-use crate::store::view::{Job, View};
+use crate::store::cluster_state::{Job, View};
 use crate::time::{Micros, SECOND};
 use crate::wire::user::Shape;
 use foldhash::{HashMap, HashMapExt, HashSet};
--- a/src/control/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -2,15 +2,15 @@
 
 pub mod decide;
 
-use crate::hosts::model::{Host, HostState};
+use crate::autoscaler::model::{Host, HostState};
+use crate::controller::Node;
 use crate::ids::HostId;
 use crate::jobs::commit::{Intent, Staged, sweep};
 use crate::jobs::model::JobId;
-use crate::members::{PARTS, part_of};
-use crate::node::Node;
-use crate::placement::{self, Open, Scene, Writes};
+use crate::membership::{PARTS, part_of};
+use crate::scheduling::{self, Open, Scene, Writes};
 use crate::store::client::Outcome;
-use crate::store::view::{Job, View};
+use crate::store::cluster_state::{Job, View};
 use crate::time::{MILLI, Micros, SECOND, wall};
 use crate::wire::user::Shape;
 use crate::workers::{self, Machine};
@@ -290,7 +290,7 @@
         };
         let under_way = self.control.busy.borrow();
         let busy = |id: &JobId| under_way.contains(id);
-        placement::plan(&Scene {
+        scheduling::plan(&Scene {
             view,
             wall: wall(),
             teams: &self.settings.teams,
--- a/src/placement/mod.rs
+++ b/src/scheduling/mod.rs
@@ -7,22 +7,22 @@
 //! Equal tasks are decided as one run: the cost is that of jobs and of machines with room, not of
 //! tasks times machines.
 
-mod spots;
-pub mod why;
+mod bin_packing;
+pub mod pending_reason;
 
-use crate::fairness::floor::{self, Standing};
-use crate::fairness::served;
-use crate::hosts::model::{Host, HostState};
+use crate::autoscaler::model::{Host, HostState};
+use crate::fairness::minimum_share::{self, Standing};
+use crate::fairness::service_levels;
 use crate::ids::HostId;
 use crate::jobs::commit::Intent;
 use crate::jobs::model::{JobId, Room, Slot, Spec};
+use crate::quota::{Account, Turn};
 use crate::settings::{Objective, ObjectiveKind, Team};
-use crate::store::view::{Job, View};
-use crate::teams::{Account, Turn};
+use crate::store::cluster_state::{Job, View};
 use crate::time::{Micros, SECOND, from_secs};
 use crate::wire::user::{Rank, Shape};
+use bin_packing::{Score, Spots};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
-use spots::{Score, Spots};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine that may be given tasks.
@@ -280,7 +280,7 @@
     let age = s.wall.saturating_sub(job.since);
     let own = if home { BEGIN } else { BEGIN + OTHERS_PUSH };
     let array = job.spec.kind == Shape::Array && !job.piped;
-    array && !s.forecast && age >= own && !served::started(job)
+    array && !s.forecast && age >= own && !service_levels::started(job)
 }
 
 /// Among those that should begin the oldest goes first.
@@ -644,7 +644,7 @@
             }
         }
         // Gangs get their share by this and no more: they are large, and arrays would get nothing.
-        if gangs.cpus as f64 > (gangs.cpus + arrays.cpus) as f64 * floor::SHARE {
+        if gangs.cpus as f64 > (gangs.cpus + arrays.cpus) as f64 * minimum_share::SHARE {
             // Arrays take what becomes free: machines rented for a gang would stand idle.
             if s.forecast {
                 teams.close_gangs(&spec.team);
@@ -683,13 +683,14 @@
 }
 
 /// Lets the longest waiting tasks of starved classes go before other arrays, as far as the floor of their
-/// class goes (`fairness::floor`): where a team's limit binds within the team, else among all others.
+/// class goes (`fairness::minimum_share`): where a team's limit binds within the team, else among all others.
 /// Services and what ranks high stay before them.
 fn raise_starved<'a>(s: &Scene<'a>, teams: &mut Account<'a>, queue: &mut Vec<Entry<'a>>) {
     let v = s.view;
     let array = |j: &Job| j.spec.kind == Shape::Array && j.ready && !j.cancelled();
-    let overdue =
-        |j: &Job| s.wall.saturating_sub(j.since) > floor::patience(s.objectives, &j.spec.class);
+    let overdue = |j: &Job| {
+        s.wall.saturating_sub(j.since) > minimum_share::patience(s.objectives, &j.spec.class)
+    };
     // Also others': what a team's limit keeps for a class, all controllers keep.
     let lower = |j: &Job| j.spec.rank > Rank::Normal && array(j) && j.waiting > 0 && overdue(j);
     if !v.waiting().any(|(_, j)| lower(j)) {
@@ -728,7 +729,7 @@
     for scope in scopes {
         let of = || classes.iter().filter(|(k, _)| k.0 == scope);
         let list: Vec<Standing> = of().map(|(_, c)| c.clone()).collect();
-        for ((k, _), cpus) in of().zip(floor::floor(&list)) {
+        for ((k, _), cpus) in of().zip(minimum_share::floor(&list)) {
             if let Some(team) = scope {
                 teams.claim_floor(team, cpus);
             }
--- a/src/placement/why.rs
+++ b/src/scheduling/pending_reason.rs
@@ -2,7 +2,7 @@
 
 use super::Plan;
 use crate::jobs::model::JobId;
-use crate::store::view::{Job, View};
+use crate::store::cluster_state::{Job, View};
 use crate::wire::user::Shape;
 use serde::Serialize;
 use std::collections::BTreeMap;
--- a/src/store/view.rs
+++ b/src/store/cluster_state.rs
@@ -1,15 +1,15 @@
 //! The view: what the state service holds, as far as this node has heard. Pure; fed by lists,
 //! watches and the node's own transactions.
 
-use crate::fairness::served::{self, End, Served};
+use crate::autoscaler::model::{Charter, Host, HostState, Leaving};
+use crate::fairness::service_levels::{self, End, Served};
 use crate::fairness::{Counts, Raises};
-use crate::hosts::model::{Charter, Host, HostState, Leaving};
 use crate::ids::HostId;
 use crate::jobs::model::{
     AnyRecord, BLOCK, Block, Final, Ids, JobId, Load, Placement, Room, Slot, Spec, Stored, blocks,
     fresh,
 };
-use crate::members::{Leader, Member, Part, Version};
+use crate::membership::{Leader, Member, Part, Version};
 use crate::store::keys;
 use crate::time::{Micros, SECOND};
 use crate::wire::cloud::MachineType;
@@ -291,8 +291,8 @@
         };
         self.ends.push_back(End {
             rev,
-            name: served::name(&j.spec.class, &j.spec.team),
-            started: done || served::started(j),
+            name: service_levels::name(&j.spec.class, &j.spec.team),
+            started: done || service_levels::started(j),
             done,
         });
         while self.ends.len() > ENDS {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,6 +1,6 @@
 //! The state service as this program sees it: client, names of keys, view.
 
 pub mod client;
-pub mod feed;
+pub mod cluster_state;
 pub mod keys;
-pub mod view;
+pub mod watch_cache;
--- a/src/store/feed.rs
+++ b/src/store/watch_cache.rs
@@ -1,8 +1,8 @@
 //! The feed: reads the state service into the view, and says how current the view is.
 
 use super::client::{Outcome, StoreClient};
+use super::cluster_state::View;
 use super::keys;
-use super::view::View;
 use crate::ids::HostId;
 use crate::jobs::model::{Final, JobId};
 use crate::time::{Clock, MILLI, Micros, SECOND, dur};
--- a/src/workers/drive.rs
+++ b/src/workers/drive.rs
@@ -4,15 +4,15 @@
     Machine, Mute, News, cut_off, many_mute, mute, newest_word, orders, reported_state, sent_to,
     sick,
 };
-use crate::hosts::model::{Host, HostState};
-use crate::hosts::{UP_MAX, UP_TOLD, give_up, put_host};
+use crate::autoscaler::model::{Host, HostState};
+use crate::autoscaler::{UP_MAX, UP_TOLD, give_up, put_host};
+use crate::controller::{First, Node};
 use crate::ids::HostId;
 use crate::jobs::model::JobId;
-use crate::members::{UP_MOST, part_of};
-use crate::node::{First, Node};
+use crate::membership::{UP_MOST, part_of};
 use crate::store::client::Outcome;
+use crate::store::cluster_state::View;
 use crate::store::keys;
-use crate::store::view::View;
 use crate::time::{Micros, SECOND, to_secs, wall};
 use crate::wire::server::Reply;
 use crate::wire::state::Txn;
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -7,11 +7,11 @@
 
 pub use drive::{Fleet, may_answer};
 
-use crate::hosts::model::HostState;
+use crate::autoscaler::model::HostState;
 use crate::ids::HostId;
 use crate::jobs::commit::Intent;
 use crate::jobs::model::{JobId, Placement, parse_task, task_name};
-use crate::store::view::View;
+use crate::store::cluster_state::View;
 use crate::time::{Micros, SECOND, from_secs, to_secs};
 use crate::wire::user::Shape;
 use crate::wire::worker::{Cause, Order, Report, TaskReport, TaskStatus};
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -75,13 +75,13 @@
 }
 
 fn host(v: &mut View) {
-    let h = crate::hosts::model::Host {
+    let h = crate::autoscaler::model::Host {
         kind: "t".into(),
         zone: "z".into(),
         spot: false,
         addr: None,
         session: 1,
-        state: crate::hosts::model::HostState::Up,
+        state: crate::autoscaler::model::HostState::Up,
         rented: 0,
     };
     v.put(&keys::host("m"), &to_value(&h), 3);
@@ -170,7 +170,7 @@
 /// its worker has to come to the third, and not to be sent back to the one that drove it before.
 #[test]
 fn a_worker_that_shows_a_newer_token_is_sent_to_nobody_older() {
-    use crate::members::{Member, Part};
+    use crate::membership::{Member, Part};
     let mut v = View::default();
     let m = Member::begin(None, 7, 2, 0);
     v.put(&keys::member("a"), &to_value(&m), 1);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! What the tests share: a job, a machine type, limits and a state service of their own.
 #![allow(dead_code)]
 
-use coppergw::hosts::model::{Host, HostState};
+use coppergw::autoscaler::model::{Host, HostState};
 use coppergw::jobs::commit::Limits;
 use coppergw::jobs::model::{Load, Room, Spec};
-use coppergw::store::view::{Index, View};
+use coppergw::store::cluster_state::{Index, View};
 use coppergw::time::SECOND;
 use coppergw::wire::cloud::MachineType;
 use coppergw::wire::state::{Change, Guard, Txn};
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -3,12 +3,12 @@
 mod common;
 
 use common::{LIMITS, spec};
-use coppergw::control::decide::{Pass, Rounds};
 use coppergw::ids::HostId;
 use coppergw::jobs::commit::{Intent, Staged};
 use coppergw::jobs::model::{Block, JobId, Placement, Record, Slot, Spec};
+use coppergw::reconciliation::decide::{Pass, Rounds};
+use coppergw::store::cluster_state::View;
 use coppergw::store::keys;
-use coppergw::store::view::View;
 use coppergw::time::SECOND;
 use coppergw::wire::to_value;
 use coppergw::wire::user::Shape;
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::SETTINGS;
-use coppergw::jobs::front::names_jobs;
+use coppergw::jobs::api::names_jobs;
 use coppergw::jobs::model::{Block, Placement, Refusal, Slot, admit};
 use coppergw::policy::Policy;
 use coppergw::settings::Settings;
--- a/tests/lives.rs
+++ b/tests/incarnations.rs
@@ -4,9 +4,9 @@
 mod common;
 
 use common::Store;
-use coppergw::members::claim::{self, Lead, Life};
-use coppergw::members::{Member, PARTS, VERSION};
-use coppergw::store::view::View;
+use coppergw::membership::claim::{self, Lead, Life};
+use coppergw::membership::{Member, PARTS, VERSION};
+use coppergw::store::cluster_state::View;
 use coppergw::time::SECOND;
 use coppergw::wire::state::{Change, Txn};
 use foldhash::HashSet;
@@ -83,7 +83,7 @@
                     self.leases.entry(*p).or_default().insert(put.clone());
                 }
                 if let Some(part) = put.strip_prefix("c/part/") {
-                    let p: coppergw::members::Part = v.deserialized().expect("part");
+                    let p: coppergw::membership::Part = v.deserialized().expect("part");
                     let part: u32 = part.parse().expect("number");
                     let highest = self.terms.keys().filter(|k| k.0 == part).map(|k| k.1).max();
                     assert!(highest.is_none_or(|h| h < p.term), "a term was given twice");
--- a/tests/rules.rs
+++ b/tests/invariants.rs
@@ -8,14 +8,14 @@
 mod common;
 
 use common::{LIMITS, Store};
-use coppergw::hosts::model::{Host, HostState};
+use coppergw::autoscaler::model::{Host, HostState};
 use coppergw::ids::HostId;
 use coppergw::jobs::commit::{Intent, stage};
 use coppergw::jobs::model::{Block, JobId, Placement, Record, Room, Slot, Spec};
-use coppergw::members::{Member, PARTS, Part, assign, part_of};
-use coppergw::placement::{Open, Scene, plan};
+use coppergw::membership::{Member, PARTS, Part, assign, part_of};
+use coppergw::scheduling::{Open, Scene, plan};
+use coppergw::store::cluster_state::View;
 use coppergw::store::keys;
-use coppergw::store::view::View;
 use coppergw::time::{Micros, SECOND};
 use coppergw::wire::cloud::MachineType;
 use coppergw::wire::state::{Change, Guard, Txn};
--- a/tests/grown.rs
+++ b/tests/large_clusters.rs
@@ -4,16 +4,16 @@
 mod common;
 
 use common::{LIMITS, machine_type as kind};
-use coppergw::hosts::lead::forget_gone;
-use coppergw::hosts::model::{Charter, Host, HostState, Leaving};
-use coppergw::hosts::{UP_MAX, give_up, not_expected};
+use coppergw::autoscaler::model::{Charter, Host, HostState, Leaving};
+use coppergw::autoscaler::reconciler::forget_gone;
+use coppergw::autoscaler::{UP_MAX, give_up, not_expected};
 use coppergw::ids::HostId;
 use coppergw::jobs::commit::{Intent, stage};
 use coppergw::jobs::model::{Block, JobId, Record, Room, Slot, Spec};
-use coppergw::members::{PARTS, Part, part_of};
-use coppergw::placement::{Open, Scene, plan};
+use coppergw::membership::{PARTS, Part, part_of};
+use coppergw::scheduling::{Open, Scene, plan};
+use coppergw::store::cluster_state::View;
 use coppergw::store::keys;
-use coppergw::store::view::View;
 use coppergw::time::SECOND;
 use coppergw::wire::state::{Change, Txn};
 use coppergw::wire::user::{Rank, Shape};
--- a/tests/mute.rs
+++ b/tests/partitioned_machines.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use coppergw::hosts::model::HostState;
+use coppergw::autoscaler::model::HostState;
 use coppergw::ids::HostId;
 use coppergw::time::{Micros, SECOND};
 use coppergw::wire::worker::Report;
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -4,18 +4,18 @@
 
 mod common;
 
+use coppergw::autoscaler::model::{Charter, Host, HostState};
+use coppergw::autoscaler::reconciler::shrink_charter;
 use coppergw::fairness::rounds::fitting;
-use coppergw::hosts::lead::shrink_charter;
-use coppergw::hosts::model::{Charter, Host, HostState};
 use coppergw::ids::HostId;
 use coppergw::jobs::commit::{Intent, Limits, acceptance, stage, sweep, withdraw};
 use coppergw::jobs::model::{
     Block, Final, Ids, JobId, Placement, Record, Room, Slot, Spec, Stored,
 };
 use coppergw::jobs::pipelines::{Named, answer, named};
-use coppergw::members::{Member, VERSION, Version, all_know};
+use coppergw::membership::{Member, VERSION, Version, all_know};
+use coppergw::store::cluster_state::View;
 use coppergw::store::keys;
-use coppergw::store::view::View;
 use coppergw::wire::state::{Change, Txn};
 use coppergw::wire::user::{Rank, Shape, Status};
 use coppergw::wire::{from_value, json_size, to_value};
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -3,15 +3,15 @@
 mod common;
 
 use common::LIMITS;
+use coppergw::autoscaler::model::{Host, HostState};
 use coppergw::fairness::Raises;
-use coppergw::hosts::model::{Host, HostState};
 use coppergw::jobs::commit::{Intent, Limits, stage};
 use coppergw::jobs::model::{Block, JobId, Record, Room, Spec};
-use coppergw::members::{PARTS, Part};
-use coppergw::placement::{Open, Scene, Writes, allowed, plan};
+use coppergw::membership::{PARTS, Part};
+use coppergw::scheduling::{Open, Scene, Writes, allowed, plan};
 use coppergw::settings::Team;
+use coppergw::store::cluster_state::View;
 use coppergw::store::keys;
-use coppergw::store::view::View;
 use coppergw::time::SECOND;
 use coppergw::wire::cloud::MachineType;
 use coppergw::wire::state::Change;
--- a/tests/teams.rs
+++ b/tests/teams.rs
@@ -3,19 +3,19 @@
 mod common;
 
 use common::{LIMITS, Store, machine_type, spec};
-use coppergw::fairness::served::Served;
-use coppergw::hosts::model::{Host, HostState};
-use coppergw::hosts::{Decision, Outlook, decide};
+use coppergw::autoscaler::model::{Host, HostState};
+use coppergw::autoscaler::{Decision, Outlook, decide};
+use coppergw::fairness::service_levels::Served;
 use coppergw::ids::HostId;
 use coppergw::jobs::commit::{Intent, stage};
 use coppergw::jobs::model::{Block, Record, Room, Slot, Spec};
-use coppergw::members::{PARTS, Part, hash, part_of};
-use coppergw::placement::why::{Why, why};
-use coppergw::placement::{Open, Plan, Scene, plan};
+use coppergw::membership::{PARTS, Part, hash, part_of};
 use coppergw::policy::Policy;
+use coppergw::scheduling::pending_reason::{Why, why};
+use coppergw::scheduling::{Open, Plan, Scene, plan};
 use coppergw::settings::Team;
+use coppergw::store::cluster_state::View;
 use coppergw::store::keys;
-use coppergw::store::view::View;
 use coppergw::time::SECOND;
 use coppergw::wire::user::{Rank, Shape};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -3,13 +3,13 @@
 mod common;
 
 use common::{Store, machine_type, spec, up};
-use coppergw::hosts::model::{Host, HostState};
-use coppergw::hosts::{Decision, Outlook, decide};
+use coppergw::autoscaler::model::{Host, HostState};
+use coppergw::autoscaler::{Decision, Outlook, decide};
 use coppergw::jobs::model::{Block, Placement, Record, Room, Slot, Spec};
-use coppergw::placement::{Open, Plan, Scene, plan};
 use coppergw::policy::Policy;
+use coppergw::scheduling::{Open, Plan, Scene, plan};
+use coppergw::store::cluster_state::View;
 use coppergw::store::keys;
-use coppergw::store::view::View;
 use coppergw::time::{Micros, SECOND};
 use coppergw::wire::user::{Rank, Shape};
 use foldhash::{HashMap, HashMapExt};
