--- a/benches/growth.rs
+++ b/benches/growth.rs
@@ -2,21 +2,23 @@
 //! each and are full with them; one in ten is empty, and arrays for a tenth of the fleet wait. Compare
 //! the rows of one bench with each other, not with those of another machine.
 
-use coppergw::autoscaler::model::{Host, HostState};
-use coppergw::autoscaler::{Outlook, decide};
-use coppergw::ids::HostId;
-use coppergw::jobs::model::{Block, JobId, Placement, Record, Room, Slot, Spec};
+use coppergw::autoscaler::model::{MachineRecord, MachineState};
+use coppergw::autoscaler::{CapacityForecast, decide};
+use coppergw::ids::MachineId;
+use coppergw::jobs::model::{
+    JobId, JobRecord, JobSpec, Placement, Resources, TaskBlock, TaskState,
+};
 use coppergw::policy::Policy;
-use coppergw::scheduling::{Open, Plan, Scene, plan};
-use coppergw::store::cluster_state::View;
+use coppergw::scheduling::{SchedulableMachine, Schedule, SchedulingInput, schedule};
+use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
 use coppergw::time::SECOND;
 use coppergw::wire::cloud::MachineType;
-use coppergw::wire::state::{Event, Item, Log, Page};
-use coppergw::wire::user::{Rank, Shape};
-use coppergw::wire::worker::{Report, TaskReport, TaskStatus};
+use coppergw::wire::state::{Event, Item, Page, WatchResponse};
+use coppergw::wire::user::{JobKind, Priority};
+use coppergw::wire::worker::{Heartbeat, ReportedTask, TaskStatus};
 use coppergw::wire::{decode, encode, to_value};
-use coppergw::workers::{Machine, orders, reconcile};
+use coppergw::workers::{WorkerState, commands, reconcile};
 use divan::Bencher;
 use foldhash::HashMap;
 
@@ -32,45 +34,45 @@
 
 fn kind() -> MachineType {
     MachineType {
-        sku: "t".into(),
-        cores: 16.0,
-        accelerators: 0.0,
-        ram_gb: 64.0,
-        local_gb: 30.0,
+        name: "t".into(),
+        cpus: 16.0,
+        gpus: 0.0,
+        memory_gb: 64.0,
+        image_cache_gb: 30.0,
         fetch_gb_per_s: 1.0,
-        rate: 1.0,
-        market_price: Some(0.4),
-        ready_s: 15.0,
-        yards: vec!["z".into()],
+        price_per_hour: 1.0,
+        spot_price_per_hour: Some(0.4),
+        boot_time_s: 15.0,
+        zones: vec!["z".into()],
     }
 }
 
-fn spec(job: usize, tasks: usize, cpus: i64) -> Spec {
-    Spec {
+fn spec(job: usize, tasks: usize, cpus: i64) -> JobSpec {
+    JobSpec {
         class: "c".into(),
         team: "team".into(),
-        kind: Shape::Array,
-        rank: Rank::Normal,
-        tasks: tasks as u32,
-        room: Room {
+        kind: JobKind::Array,
+        priority: Priority::Normal,
+        task_count: tasks as u32,
+        resources: Resources {
             cpus,
             gpus: 0,
             memory: 2000,
         },
         image: format!("image-{}", job % 20),
         image_size: 1000,
-        types: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        spread: false,
-        spot: true,
-        estimate: 30 * SECOND,
-        checkpoint: 0,
-        save: 0,
+        single_zone: false,
+        zone_spread: false,
+        allow_spot: true,
+        estimated_run_time: 30 * SECOND,
+        checkpoint_interval: 0,
+        checkpoint_save_time: 0,
         deadline: None,
-        submitted: job as u64,
+        submitted_at: job as u64,
         cancelled: false,
-        needs: Default::default(),
+        dependencies: Default::default(),
     }
 }
 
@@ -86,82 +88,82 @@
 fn keys_of_fleet(machines: usize, empty: usize) -> Vec<(String, ciborium::Value)> {
     let mut out = vec![(keys::TYPES.to_string(), to_value(&vec![kind()]))];
     for n in 0..machines {
-        let h = Host {
-            kind: "t".into(),
+        let h = MachineRecord {
+            machine_type: "t".into(),
             zone: "z".into(),
             spot: n % 3 == 0,
-            addr: Some("10.0.0.1:9000".into()),
+            address: Some("10.0.0.1:9000".into()),
             session: 1,
-            state: HostState::Up,
-            rented: 0,
+            state: MachineState::Up,
+            rented_at: 0,
         };
-        out.push((keys::host(&host_name(n)), to_value(&h)));
+        out.push((keys::machine(&host_name(n)), to_value(&h)));
     }
     let used = machines - empty;
     let jobs = used * TASKS / JOB;
     for j in 0..jobs {
         let slots = (0..JOB)
             .map(|i| {
-                Slot::Placed(Placement {
+                TaskState::Placed(Placement {
                     attempt: 1,
-                    host: host_name((j * JOB + i) / TASKS).as_str().into(),
+                    machine: host_name((j * JOB + i) / TASKS).as_str().into(),
                     session: 1,
                     stop: None,
                 })
             })
             .collect();
-        let r = Record(spec(j, JOB, 800), Block(slots));
+        let r = JobRecord(spec(j, JOB, 800), TaskBlock(slots));
         out.push((keys::job(&job_name(j)), to_value(&r)));
     }
     for j in 0..machines / 100 {
-        let r = Record(spec(j, JOB, 800), Block::default());
+        let r = JobRecord(spec(j, JOB, 800), TaskBlock::default());
         out.push((keys::job(&job_name(jobs + j)), to_value(&r)));
     }
     out
 }
 
-fn view(machines: usize) -> View {
+fn view(machines: usize) -> ClusterState {
     view_of(machines, machines / 10)
 }
 
-fn view_of(machines: usize, empty: usize) -> View {
-    let mut v = View::default();
+fn view_of(machines: usize, empty: usize) -> ClusterState {
+    let mut v = ClusterState::default();
     for (n, (k, x)) in keys_of_fleet(machines, empty).iter().enumerate() {
         v.put(k, x, n as u64 + 1);
     }
-    v.touched.clear();
+    v.changed_machines.clear();
     v
 }
 
-fn planned(v: &View, forecast: bool) -> usize {
+fn planned(v: &ClusterState, forecast: bool) -> usize {
     let p = plan_of(v, forecast);
-    p.intents.len() + p.free.len()
+    p.changes.len() + p.free_resources.len()
 }
 
-fn plan_of(v: &View, forecast: bool) -> Plan {
+fn plan_of(v: &ClusterState, forecast: bool) -> Schedule {
     let yes = |_: &str| true;
     let no = |_: &str| false;
-    let open = |_: &HostId, h: &Host| {
-        Some(Open {
+    let open = |_: &MachineId, h: &MachineRecord| {
+        Some(SchedulableMachine {
             session: h.session,
-            mine: true,
+            owned: true,
         })
     };
-    plan(&Scene {
+    schedule(&SchedulingInput {
         view: v,
-        wall: SECOND,
+        wall_clock: SECOND,
         teams: &[],
         objectives: &[],
-        open: &open,
+        schedulable: &open,
         freed: &HashMap::default(),
-        held_back: &no,
-        home: &yes,
-        mine: &yes,
-        gangs: true,
-        arrays: true,
-        steps: true,
+        in_backoff: &no,
+        owns_job: &yes,
+        owns_machine: &yes,
+        place_gangs: true,
+        place_arrays: true,
+        place_deadline_steps: true,
         forecast,
-        writes: None,
+        write_limit: None,
     })
 }
 
@@ -185,21 +187,21 @@
     let v = view(n);
     let forecast = plan_of(&v, true);
     let policy = Policy::default();
-    let idle_since = v.hosts.keys().map(|id| (id.clone(), 0)).collect();
+    let idle_since = v.machines.keys().map(|id| (id.clone(), 0)).collect();
     b.bench_local(|| {
-        let d = decide(&Outlook {
+        let d = decide(&CapacityForecast {
             view: &v,
-            forecast: &forecast,
+            schedule: &forecast,
             policy: &policy,
             objectives: &[],
             teams: &[],
-            wall: 100 * SECOND,
+            wall_clock: 100 * SECOND,
             refused: &|_, _, _| false,
             idle_since: &idle_since,
-            per_charter: 50,
-            up: &|_| false,
+            machines_per_request: 50,
+            known_up: &|_| false,
         });
-        d.rent.len() + d.give_back.len() + d.close.len()
+        d.scale_out.len() + d.scale_in.len() + d.cordon.len()
     });
 }
 
@@ -214,10 +216,10 @@
         let Some(job) = v.jobs.get(&id) else { continue };
         // Every twentieth task is done: one on each machine.
         let slots = job.slots().map(|(i, s)| match i as usize % TASKS {
-            0 => Slot::Done,
+            0 => TaskState::Done,
             _ => s.clone(),
         });
-        let r = Record((*job.spec).clone(), Block(slots.collect()));
+        let r = JobRecord((*job.spec).clone(), TaskBlock(slots.collect()));
         stamp += 1;
         v.put(&keys::job(&id), &to_value(&r), stamp);
     }
@@ -226,30 +228,30 @@
         v.delete(&keys::job(&job_name(j)), stamp);
     }
     stamp += 1;
-    let job = to_value(&Record(spec(0, JOB, 800), Block::default()));
+    let job = to_value(&JobRecord(spec(0, JOB, 800), TaskBlock::default()));
     v.put(&keys::job("req-999999"), &job, stamp);
     b.bench_local(|| planned(&v, false));
 }
 
-fn report(v: &View, host: usize) -> Report {
-    let id = HostId::from(host_name(host));
+fn report(v: &ClusterState, machine: usize) -> Heartbeat {
+    let id = MachineId::from(host_name(machine));
     let shards = v.tasks_on(&id).into_iter().flatten();
-    Report {
-        deckhand: host_name(host),
+    Heartbeat {
+        machine: host_name(machine),
         address: "10.0.0.1:9000".into(),
-        rig: "t".into(),
-        yard: "z".into(),
-        loaners: false,
-        shift: 1,
-        tick: 1,
-        baton: 5,
-        recall_s: None,
-        shards: shards
-            .map(|((j, i), p)| TaskReport {
-                shard: format!("{j}/{i}"),
+        machine_type: "t".into(),
+        zone: "z".into(),
+        spot: false,
+        session: 1,
+        sequence: 1,
+        fencing_token: 5,
+        preemption_notice_s: None,
+        tasks: shards
+            .map(|((j, i), p)| ReportedTask {
+                task: format!("{j}/{i}"),
                 attempt: u64::from(p.attempt),
                 status: TaskStatus::Running,
-                cause: None,
+                reason: None,
                 saved: None,
             })
             .collect(),
@@ -258,11 +260,11 @@
 
 /// Every machine is compared with its blocks, as the sweep does.
 #[divan::bench(args = SIZES)]
-fn sweep(b: Bencher<'_, '_>, n: usize) {
+fn collect_garbage(b: Bencher<'_, '_>, n: usize) {
     let v = view(n);
-    let mut machines: Vec<(HostId, Machine)> = (0..n)
+    let mut machines: Vec<(MachineId, WorkerState)> = (0..n)
         .map(|k| {
-            let mut m = Machine::new(5, 0);
+            let mut m = WorkerState::new(5, 0);
             m.take(&report(&v, k), false, 1);
             (host_name(k).into(), m)
         })
@@ -272,7 +274,7 @@
         let mut count = 0;
         for (id, m) in &mut machines {
             reconcile(&v, id, m, 20 * SECOND, 2, &mut out);
-            count += orders(&v, id, m, false).len();
+            count += commands(&v, id, m, false).len();
         }
         count + out.len()
     });
@@ -282,18 +284,18 @@
 #[divan::bench(args = SIZES)]
 fn one_report(b: Bencher<'_, '_>, n: usize) {
     let v = view(n);
-    let id = HostId::from(host_name(7));
+    let id = MachineId::from(host_name(7));
     let mut r = report(&v, 7);
-    let mut m = Machine::new(5, 0);
+    let mut m = WorkerState::new(5, 0);
     let mut tick = 1;
     b.bench_local(|| {
         tick += 1;
-        r.tick = tick;
+        r.sequence = tick;
         let body = encode(&r);
-        if let Ok(r) = decode::<Report>(&body) {
+        if let Ok(r) = decode::<Heartbeat>(&body) {
             m.take(&r, false, tick);
         }
-        orders(&v, &id, &mut m, true).len()
+        commands(&v, &id, &mut m, true).len()
     });
 }
 
@@ -304,50 +306,57 @@
     let spec = spec(0, JOB, 800);
     let key = keys::job("req-999999");
     let placed = |i: usize| {
-        Slot::Placed(Placement {
+        TaskState::Placed(Placement {
             attempt: 1,
-            host: host_name(n - 1 - i % 50).as_str().into(),
+            machine: host_name(n - 1 - i % 50).as_str().into(),
             session: 1,
             stop: None,
         })
     };
-    let block = Block((0..JOB).map(placed).collect());
+    let block = TaskBlock((0..JOB).map(placed).collect());
     let mut stamp = 10 * n as u64;
     let (r1, r2) = (
-        to_value(&Record(spec.clone(), Block::default())),
-        to_value(&Record(spec, block)),
+        to_value(&JobRecord(spec.clone(), TaskBlock::default())),
+        to_value(&JobRecord(spec, block)),
     );
     b.bench_local(|| {
-        let log = Log {
-            ledger_rev: stamp + 3,
-            log: vec![
+        let log = WatchResponse {
+            revision: stamp + 3,
+            events: vec![
                 Event::Put {
-                    put: key.clone(),
-                    v: r1.clone(),
-                    stamp: stamp + 1,
+                    key: key.clone(),
+                    value: r1.clone(),
+                    version: stamp + 1,
                 },
                 Event::Put {
-                    put: key.clone(),
-                    v: r2.clone(),
-                    stamp: stamp + 2,
+                    key: key.clone(),
+                    value: r2.clone(),
+                    version: stamp + 2,
                 },
                 Event::Delete {
-                    remove: key.clone(),
-                    stamp: stamp + 3,
+                    key: key.clone(),
+                    version: stamp + 3,
                 },
             ],
         };
         stamp += 3;
-        let Ok(log) = decode::<Log>(&encode(&log)) else {
+        let Ok(log) = decode::<WatchResponse>(&encode(&log)) else {
             return 0;
         };
-        for e in &log.log {
+        for e in &log.events {
             match e {
-                Event::Put { put, v: x, stamp } => v.put(put, x, *stamp),
-                Event::Delete { remove, stamp } => v.delete(remove, *stamp),
+                Event::Put {
+                    key: put,
+                    value: x,
+                    version: stamp,
+                } => v.put(put, x, *stamp),
+                Event::Delete {
+                    key: remove,
+                    version: stamp,
+                } => v.delete(remove, *stamp),
             }
         }
-        v.touched.clear();
+        v.changed_machines.clear();
         v.jobs.len()
     });
 }
@@ -357,7 +366,7 @@
 fn start_from_a_full_state(b: Bencher<'_, '_>, n: usize) {
     let all = keys_of_fleet(n, n / 10);
     b.bench_local(|| {
-        let mut v = View::default();
+        let mut v = ClusterState::default();
         for (k, (key, x)) in all.iter().enumerate() {
             v.put(key, x, k as u64 + 1);
         }
@@ -376,21 +385,21 @@
             encode(&Page {
                 items: items
                     .map(|(k, (path, v))| Item {
-                        path: path.clone(),
-                        v: v.clone(),
-                        stamp: k as u64 + 1,
+                        key: path.clone(),
+                        value: v.clone(),
+                        version: k as u64 + 1,
                     })
                     .collect(),
                 more: true,
-                ledger_rev: n as u64,
+                revision: n as u64,
             })
         })
         .collect();
     b.bench_local(|| {
-        let mut v = View::default();
+        let mut v = ClusterState::default();
         for page in &pages {
             for i in decode::<Page>(page).map(|p| p.items).unwrap_or_default() {
-                v.put(&i.path, &i.v, i.stamp);
+                v.put(&i.key, &i.value, i.version);
             }
         }
         planned(&v, false)
@@ -411,14 +420,14 @@
     for id in waiting {
         v.delete(&keys::job(&id), stamp);
     }
-    let job = to_value(&Record(spec(0, 10, 800), Block::default()));
+    let job = to_value(&JobRecord(spec(0, 10, 800), TaskBlock::default()));
     b.bench_local(|| {
         stamp += 1;
         v.put(&keys::job("req-999999"), &job, stamp);
         let k = planned(&v, false);
         stamp += 1;
         v.delete(&keys::job("req-999999"), stamp);
-        v.touched.clear();
+        v.changed_machines.clear();
         k
     });
 }
--- a/crates/base/src/ids.rs
+++ b/crates/base/src/ids.rs
@@ -21,7 +21,7 @@
 }
 
 /// A machine's name.
-pub type HostId = Id;
+pub type MachineId = Id;
 
 impl Id {
     /// Whether the head is all there is.
--- a/crates/base/src/settings.rs
+++ b/crates/base/src/settings.rs
@@ -33,15 +33,17 @@
     node_name: String,
     #[serde(default)]
     area: String,
-    front: String,
+    #[serde(rename = "front")]
+    listen: String,
     peer_bind: String,
     #[serde(default)]
-    siblings: Vec<RawSibling>,
+    #[serde(rename = "siblings")]
+    peers: Vec<RawPeer>,
     outside: RawOutside,
     deployment: RawDeployment,
 }
 #[derive(Deserialize)]
-struct RawSibling {
+struct RawPeer {
     node_name: String,
     endpoint: String,
 }
@@ -130,11 +132,11 @@
 
 /// A peer controller.
 #[derive(Clone, Debug)]
-pub struct Sibling {
+pub struct Peer {
     /// Its name.
     pub name: String,
     /// Its address for controllers.
-    pub addr: SocketAddr,
+    pub address: SocketAddr,
 }
 
 /// A team with guarantee and limit, in thousandths; a limit of 0 is none.
@@ -193,15 +195,15 @@
     /// Changes per second.
     pub write_rps: f64,
     /// Bytes of a value, counted as JSON.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// Changes of a transaction.
-    pub txn_ops: usize,
+    pub max_mutations: usize,
 }
 
 impl StateLimits {
     /// Conditions that a transaction may have.
-    pub fn guards(&self) -> usize {
-        self.txn_ops * 4
+    pub fn preconditions(&self) -> usize {
+        self.max_mutations * 4
     }
 }
 
@@ -213,11 +215,11 @@
     /// Its zone.
     pub zone: String,
     /// Address for users and workers.
-    pub front: SocketAddr,
+    pub listen: SocketAddr,
     /// Address for controllers.
     pub peer_bind: SocketAddr,
     /// The other controllers.
-    pub siblings: Vec<Sibling>,
+    pub peers: Vec<Peer>,
     /// Cloud.
     pub cloud: SocketAddr,
     /// State service.
@@ -225,25 +227,25 @@
     /// Zones.
     pub zones: Vec<String>,
     /// How far the time of day may be off.
-    pub skew: Micros,
+    pub clock_skew: Micros,
     /// Teams.
     pub teams: Vec<Team>,
     /// Aims.
     pub objectives: Vec<Objective>,
     /// Interval of reports.
-    pub report: Micros,
+    pub heartbeat_interval: Micros,
     /// Workers' lease.
-    pub lease: Micros,
+    pub worker_lease: Micros,
     /// How long a gang waits to be complete.
     pub gang_wait: Micros,
     /// How fast a gang notices a lost task.
     pub gang_peer: Micros,
     /// Time for a cancellation.
-    pub cancel: Micros,
+    pub cancel_within: Micros,
     /// Limits of the state service as they are.
-    pub limits: StateLimits,
+    pub state_limits: StateLimits,
     /// The lower of these and of those that are announced; none are announced if this is not set.
-    pub next: Option<StateLimits>,
+    pub next_state_limits: Option<StateLimits>,
     /// Cloud requests per second.
     pub cloud_rps: f64,
     /// Lag of the machine list.
@@ -253,7 +255,7 @@
     /// Share of a core.
     pub core_share: f64,
     /// Memory.
-    pub ram_mb: f64,
+    pub memory_mb: f64,
 }
 
 /// CPUs, GPUs and gigabytes are counted in thousandths.
@@ -324,8 +326,8 @@
         let limits = StateLimits {
             rps: d.state.rps,
             write_rps: d.state.write_rps,
-            value_bytes: (d.state.value_kb * 1024.0) as usize,
-            txn_ops: d.state.txn_ops,
+            max_value_bytes: (d.state.value_kb * 1024.0) as usize,
+            max_mutations: d.state.txn_ops,
         };
         let next = match &d.state.next {
             None => None,
@@ -356,11 +358,14 @@
                         .write_rps
                         .unwrap_or(limits.write_rps)
                         .min(limits.write_rps),
-                    value_bytes: n
+                    max_value_bytes: n
                         .value_kb
-                        .map_or(limits.value_bytes, |v| (v * 1024.0) as usize)
-                        .min(limits.value_bytes),
-                    txn_ops: n.txn_ops.unwrap_or(limits.txn_ops).min(limits.txn_ops),
+                        .map_or(limits.max_value_bytes, |v| (v * 1024.0) as usize)
+                        .min(limits.max_value_bytes),
+                    max_mutations: n
+                        .txn_ops
+                        .unwrap_or(limits.max_mutations)
+                        .min(limits.max_mutations),
                 })
             }
         };
@@ -370,23 +375,23 @@
                 "fewer than 16".into(),
             ));
         }
-        let mut siblings = Vec::new();
-        for s in &raw.siblings {
-            siblings.push(Sibling {
+        let mut peers = Vec::new();
+        for s in &raw.peers {
+            peers.push(Peer {
                 name: s.node_name.clone(),
-                addr: addr("siblings.endpoint", &s.endpoint)?,
+                address: addr("siblings.endpoint", &s.endpoint)?,
             });
         }
         Ok(Settings {
             node: raw.node_name,
             zone: raw.area,
-            front: addr("front", &raw.front)?,
+            listen: addr("front", &raw.listen)?,
             peer_bind: addr("peer_bind", &raw.peer_bind)?,
-            siblings,
+            peers,
             cloud: addr("outside.cloud", &raw.outside.cloud)?,
             state: addr("outside.state", &raw.outside.state)?,
             zones: d.zones,
-            skew: from_secs(d.skew_ms / 1000.0),
+            clock_skew: from_secs(d.skew_ms / 1000.0),
             teams: d
                 .teams
                 .iter()
@@ -417,18 +422,18 @@
                     })
                 })
                 .collect(),
-            report: positive("deployment.workers.report_s", d.workers.report_s)?,
-            lease: positive("deployment.workers.lease_s", d.workers.lease_s)?,
+            heartbeat_interval: positive("deployment.workers.report_s", d.workers.report_s)?,
+            worker_lease: positive("deployment.workers.lease_s", d.workers.lease_s)?,
             gang_wait: positive("deployment.workers.gang_wait_s", d.workers.gang_wait_s)?,
             gang_peer: positive("deployment.workers.gang_peer_s", d.workers.gang_peer_s)?,
-            cancel: positive("deployment.workers.cancel_s", d.workers.cancel_s)?,
-            limits,
-            next,
+            cancel_within: positive("deployment.workers.cancel_s", d.workers.cancel_s)?,
+            state_limits: limits,
+            next_state_limits: next,
             cloud_rps: d.cloud.rps,
             list_lag: from_secs(d.cloud.list_lag_s),
             max_connections: d.machine_limits.max_connections,
             core_share: d.machine_limits.core_share,
-            ram_mb: d.machine_limits.ram_mb,
+            memory_mb: d.machine_limits.ram_mb,
         })
     }
 
--- a/crates/base/src/wire/client.rs
+++ b/crates/base/src/wire/client.rs
@@ -12,14 +12,14 @@
 use std::net::SocketAddr;
 
 /// An answer: status and body.
-pub struct Answer {
+pub struct ClientResponse {
     /// HTTP status.
     pub status: u16,
     /// The body as it came.
     pub body: Vec<u8>,
 }
 
-impl Answer {
+impl ClientResponse {
     /// The body decoded, if the status is 200.
     pub fn ok<T: serde::de::DeserializeOwned>(&self) -> Result<T, WireError> {
         if self.status == 200 {
@@ -88,7 +88,7 @@
         path: &str,
         body: Option<Vec<u8>>,
         limit: Micros,
-    ) -> Result<Answer, WireError> {
+    ) -> Result<ClientResponse, WireError> {
         let _use = Use::new(&self.used);
         self.exchange(addr, method, path, body)
             .or(async {
@@ -104,7 +104,7 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-    ) -> Result<Answer, WireError> {
+    ) -> Result<ClientResponse, WireError> {
         // A kept connection is used only if the other side has not closed it meanwhile. Nothing is
         // ever sent twice: a first copy that seems lost may still be carried out, much later.
         while let Some(s) = self.pop(addr) {
@@ -138,7 +138,7 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-    ) -> Result<Answer, WireError> {
+    ) -> Result<ClientResponse, WireError> {
         let conn = |e: &dyn std::fmt::Display| WireError::Connection(e.to_string());
         let url = Url::parse(&format!("http://{addr}{path}")).map_err(|e| conn(&e))?;
         let mut req = Request::new(method, url);
@@ -170,7 +170,7 @@
                 v.push(s);
             }
         }
-        Ok(Answer { status, body })
+        Ok(ClientResponse { status, body })
     }
 
     /// Calls that go on.
--- a/crates/base/src/wire/client/tests.rs
+++ b/crates/base/src/wire/client/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::time::SECOND;
-use crate::wire::server::{Reply, serve};
+use crate::wire::server::{Response, serve};
 use async_executor::LocalExecutor;
 use async_net::TcpListener;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
         for _ in 0..5 {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind");
             let addr = listener.local_addr().expect("address");
-            let answer = |_| async { Reply::status(200) };
+            let answer = |_| async { Response::status(200) };
             ex.spawn(serve(ex.clone(), listener, Rc::default(), 9, answer))
                 .detach();
             let a = client.call(addr, Method::Get, "/", None, SECOND).await;
--- a/crates/base/src/wire/cloud.rs
+++ b/crates/base/src/wire/cloud.rs
@@ -11,70 +11,86 @@
 
 /// Answer with the machine types.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Types {
+pub struct MachineTypes {
     /// All types.
-    pub rigs: Vec<MachineType>,
+    #[serde(rename = "rigs")]
+    pub machine_types: Vec<MachineType>,
 }
 
 /// One machine type.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct MachineType {
     /// Name.
-    pub sku: String,
+    #[serde(rename = "sku")]
+    pub name: String,
     /// CPUs.
-    pub cores: f64,
+    #[serde(rename = "cores")]
+    pub cpus: f64,
     /// GPUs.
     #[serde(default)]
-    pub accelerators: f64,
+    #[serde(rename = "accelerators")]
+    pub gpus: f64,
     /// Memory.
-    pub ram_gb: f64,
+    #[serde(rename = "ram_gb")]
+    pub memory_gb: f64,
     /// Image cache.
     #[serde(default)]
-    pub local_gb: f64,
+    #[serde(rename = "local_gb")]
+    pub image_cache_gb: f64,
     /// Image fetch rate.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
     /// Price per hour.
     #[serde(default)]
-    pub rate: f64,
+    #[serde(rename = "rate")]
+    pub price_per_hour: f64,
     /// Spot price per hour.
     #[serde(default)]
-    pub market_price: Option<f64>,
+    #[serde(rename = "market_price")]
+    pub spot_price_per_hour: Option<f64>,
     /// Boot time.
     #[serde(default)]
-    pub ready_s: f64,
+    #[serde(rename = "ready_s")]
+    pub boot_time_s: f64,
     /// Zones.
     #[serde(default)]
-    pub yards: Vec<String>,
+    #[serde(rename = "yards")]
+    pub zones: Vec<String>,
 }
 
 /// A rental.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Rental {
+pub struct ProvisionRequest {
     /// Request name, never reused.
-    pub charter: String,
+    #[serde(rename = "charter")]
+    pub request: String,
     /// Type.
-    pub rig: String,
+    #[serde(rename = "rig")]
+    pub machine_type: String,
     /// Zone.
-    pub yard: String,
+    #[serde(rename = "yard")]
+    pub zone: String,
     /// Spot.
-    pub loaners: bool,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
     /// How many.
     pub count: u32,
 }
 
 /// Machine names: what was rented, or what is returned.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Names {
+pub struct MachineNames {
     /// Names.
-    pub deckhands: Vec<String>,
+    #[serde(rename = "deckhands")]
+    pub machines: Vec<String>,
 }
 
 /// One page of the list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Page {
     /// Machines in name order.
-    pub deckhands: Vec<Listed>,
+    #[serde(rename = "deckhands")]
+    pub machines: Vec<ListedMachine>,
     /// Whether there are more.
     #[serde(default)]
     pub more: bool,
@@ -82,21 +98,24 @@
 
 /// One listed machine.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Listed {
+pub struct ListedMachine {
     /// Name.
     pub id: String,
     /// Worker's address.
     #[serde(default)]
     pub address: Option<String>,
     /// Type.
-    pub rig: String,
+    #[serde(rename = "rig")]
+    pub machine_type: String,
     /// Zone.
-    pub yard: String,
+    #[serde(rename = "yard")]
+    pub zone: String,
     /// Spot.
     #[serde(default)]
-    pub loaners: bool,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
     /// State.
-    pub status: HostStatus,
+    pub status: ListedStatus,
     /// Age since the rental request.
     #[serde(default)]
     pub age_s: f64,
@@ -105,7 +124,7 @@
 /// State of a machine in the list.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum HostStatus {
+pub enum ListedStatus {
     /// Not up yet.
     Booting,
     /// Up.
--- a/crates/base/src/wire/mod.rs
+++ b/crates/base/src/wire/mod.rs
@@ -37,7 +37,7 @@
 
 /// Why something was refused for good, in plain words for a person.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct Refused {
+pub struct ErrorBody {
     /// The reason.
     pub error: String,
 }
--- a/crates/base/src/wire/server.rs
+++ b/crates/base/src/wire/server.rs
@@ -8,14 +8,14 @@
 use async_io::Timer;
 use async_net::{TcpListener, TcpStream};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
-use http_types::{Method, Response, StatusCode};
+use http_types::{Method, Response as HttpResponse, StatusCode};
 use std::cell::Cell;
 use std::future::Future;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 /// A request as the slices see it.
-pub struct Ask {
+pub struct Request {
     /// The method.
     pub method: Method,
     /// The path, without the query.
@@ -25,7 +25,7 @@
 }
 
 /// An answer as the slices give it.
-pub struct Reply {
+pub struct Response {
     /// HTTP status.
     pub status: u16,
     /// Encoded body.
@@ -34,31 +34,31 @@
     pub retry_after: Option<u64>,
 }
 
-impl Reply {
+impl Response {
     /// A status with a body.
-    pub fn with<T: serde::Serialize>(status: u16, body: &T) -> Reply {
-        Reply {
+    pub fn with<T: serde::Serialize>(status: u16, body: &T) -> Response {
+        Response {
             status,
             body: super::encode(body),
             retry_after: None,
         }
     }
     /// A bare status.
-    pub fn status(status: u16) -> Reply {
-        Reply {
+    pub fn status(status: u16) -> Response {
+        Response {
             status,
             body: Vec::new(),
             retry_after: None,
         }
     }
     /// A refusal, with the reason in plain words.
-    pub fn refusal(status: u16, why: &str) -> Reply {
+    pub fn refusal(status: u16, why: &str) -> Response {
         let error = why.to_string();
-        Reply::with(status, &super::Refused { error })
+        Response::with(status, &super::ErrorBody { error })
     }
     /// Not now: come back in so many seconds.
-    pub fn later(status: u16, seconds: u64) -> Reply {
-        Reply {
+    pub fn later(status: u16, seconds: u64) -> Response {
+        Response {
             status,
             body: Vec::new(),
             retry_after: Some(seconds),
@@ -75,7 +75,7 @@
 
 /// Counts open connections against the limit of sockets.
 #[derive(Default)]
-pub struct Gauge {
+pub struct ConnectionGauge {
     open: Cell<usize>,
     refused: Cell<usize>,
     told: Cell<Option<Instant>>,
@@ -84,7 +84,7 @@
 /// How often it is said that connections are refused.
 const TELL: Duration = Duration::from_secs(30);
 
-impl Gauge {
+impl ConnectionGauge {
     /// Counts a connection that is refused, and says now and then how many were.
     fn refuse(&self, max: usize) {
         self.refused.set(self.refused.get() + 1);
@@ -96,7 +96,7 @@
     }
 }
 
-struct Held(Rc<Gauge>);
+struct Held(Rc<ConnectionGauge>);
 impl Drop for Held {
     fn drop(&mut self) {
         self.0.open.set(self.0.open.get() - 1);
@@ -107,12 +107,12 @@
 pub async fn serve<F, Fut>(
     ex: Rc<LocalExecutor<'static>>,
     listener: TcpListener,
-    gauge: Rc<Gauge>,
+    gauge: Rc<ConnectionGauge>,
     max: usize,
     handle: F,
 ) where
-    F: Fn(Ask) -> Fut + Clone + 'static,
-    Fut: Future<Output = Reply> + 'static,
+    F: Fn(Request) -> Fut + Clone + 'static,
+    Fut: Future<Output = Response> + 'static,
 {
     loop {
         match listener.accept().await {
@@ -142,8 +142,8 @@
 
 async fn connection<F, Fut>(mut s: TcpStream, handle: F)
 where
-    F: Fn(Ask) -> Fut,
-    Fut: Future<Output = Reply>,
+    F: Fn(Request) -> Fut,
+    Fut: Future<Output = Response>,
 {
     let _ = s.set_nodelay(true);
     loop {
@@ -158,7 +158,7 @@
             Ok(None) => return,
             Err(e) => {
                 tracing::debug!("bad request: {e}");
-                let _ = put(&mut s, Reply::status(400), Method::Get, true).await;
+                let _ = put(&mut s, Response::status(400), Method::Get, true).await;
                 return;
             }
         };
@@ -191,16 +191,16 @@
                 Some(buf)
             }
         };
-        let reply = handle(Ask { method, path, body }).await;
+        let reply = handle(Request { method, path, body }).await;
         if put(&mut s, reply, method, close).await.is_err() || close {
             return;
         }
     }
 }
 
-async fn put(s: &mut TcpStream, r: Reply, method: Method, close: bool) -> std::io::Result<()> {
+async fn put(s: &mut TcpStream, r: Response, method: Method, close: bool) -> std::io::Result<()> {
     let status = StatusCode::try_from(r.status).unwrap_or(StatusCode::InternalServerError);
-    let mut res = Response::new(status);
+    let mut res = HttpResponse::new(status);
     res.set_body(r.body);
     res.insert_header("content-type", "application/cbor");
     if let Some(n) = r.retry_after {
--- a/crates/base/src/wire/state.rs
+++ b/crates/base/src/wire/state.rs
@@ -18,25 +18,30 @@
     #[serde(default)]
     pub more: bool,
     /// Revision of the read.
-    pub ledger_rev: u64,
+    #[serde(rename = "ledger_rev")]
+    pub revision: u64,
 }
 
 /// One key.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Item {
     /// Key.
-    pub path: String,
+    #[serde(rename = "path")]
+    pub key: String,
     /// Value.
-    pub v: Value,
+    #[serde(rename = "v")]
+    pub value: Value,
     /// Version.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub version: u64,
 }
 
 /// Answer to a read of one key that is missing, or to a transaction.
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Revision {
     /// Revision.
-    pub ledger_rev: u64,
+    #[serde(rename = "ledger_rev")]
+    pub revision: u64,
     /// Conditions that failed.
     #[serde(default)]
     pub failed: Vec<String>,
@@ -44,62 +49,68 @@
 
 /// A condition.
 #[derive(Debug, Deserialize, Serialize, Clone, PartialEq)]
-pub struct Guard {
+pub struct Precondition {
     /// Key.
-    pub path: String,
+    #[serde(rename = "path")]
+    pub key: String,
     /// Version it must have; 0 if it must not exist.
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub version: u64,
 }
 
 /// A change.
 #[derive(Debug, Deserialize, Serialize, Clone)]
 #[serde(untagged)]
-pub enum Change {
+pub enum Mutation {
     /// Write a key.
     Put {
         /// Key.
-        put: String,
+        #[serde(rename = "put")]
+        key: String,
         /// Value.
-        v: Value,
+        #[serde(rename = "v")]
+        value: Value,
         /// Lease.
-        #[serde(skip_serializing_if = "Option::is_none", default)]
-        permit: Option<u64>,
+        #[serde(rename = "permit", skip_serializing_if = "Option::is_none", default)]
+        lease: Option<u64>,
     },
     /// Delete a key.
     Delete {
         /// Key.
-        remove: String,
+        #[serde(rename = "remove")]
+        key: String,
     },
 }
 
-impl Change {
+impl Mutation {
     /// The key that it changes.
     pub fn key(&self) -> &str {
         match self {
-            Change::Put { put, .. } => put,
-            Change::Delete { remove } => remove,
+            Mutation::Put { key, .. } | Mutation::Delete { key } => key,
         }
     }
 }
 
 /// A transaction.
 #[derive(Debug, Deserialize, Serialize, Clone, Default)]
-pub struct Txn {
+pub struct Transaction {
     /// Conditions.
-    pub guards: Vec<Guard>,
+    #[serde(rename = "guards")]
+    pub preconditions: Vec<Precondition>,
     /// Changes.
-    pub then: Vec<Change>,
+    #[serde(rename = "then")]
+    pub mutations: Vec<Mutation>,
 }
 
-impl Txn {
+impl Transaction {
     /// How many keys of each kind it changes, for the log.
     pub fn kinds(&self) -> String {
         let mut n: BTreeMap<(&str, &str), usize> = BTreeMap::new();
-        for c in &self.then {
+        for c in &self.mutations {
             let kind = c.key().split('/').nth(1).unwrap_or_default();
             let what = match c {
-                Change::Put { .. } => "+",
-                Change::Delete { .. } => "-",
+                Mutation::Put { .. } => "+",
+                Mutation::Delete { .. } => "-",
             };
             *n.entry((what, kind)).or_default() += 1;
         }
@@ -112,17 +123,17 @@
 
     /// The size of its largest value, as limits count it.
     pub fn largest(&self) -> usize {
-        let size = |c: &Change| match c {
-            Change::Put { v, .. } => super::json_size(v),
-            Change::Delete { .. } => 0,
+        let size = |c: &Mutation| match c {
+            Mutation::Put { value, .. } => super::json_size(value),
+            Mutation::Delete { .. } => 0,
         };
-        self.then.iter().map(size).max().unwrap_or(0)
+        self.mutations.iter().map(size).max().unwrap_or(0)
     }
 }
 
 /// Asks for a lease.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct LeaseAsk {
+pub struct LeaseRequest {
     /// Time to live.
     pub ttl_ms: u64,
 }
@@ -131,17 +142,20 @@
 #[derive(Debug, Deserialize, Serialize)]
 pub struct Lease {
     /// Its id.
-    pub permit: u64,
+    #[serde(rename = "permit")]
+    pub id: u64,
 }
 
 /// What a watch tells.
 #[derive(Debug, Deserialize, Serialize)]
-pub struct Log {
+pub struct WatchResponse {
     /// Revision up to which it tells.
-    pub ledger_rev: u64,
+    #[serde(rename = "ledger_rev")]
+    pub revision: u64,
     /// Events in order.
     #[serde(default)]
-    pub log: Vec<Event>,
+    #[serde(rename = "log")]
+    pub events: Vec<Event>,
 }
 
 /// An event as it is read: told apart once its fields are there, so that values are read once.
@@ -151,23 +165,24 @@
     put: Option<String>,
     #[serde(default)]
     remove: Option<String>,
-    #[serde(default)]
-    v: Option<Value>,
-    stamp: u64,
+    #[serde(default, rename = "v")]
+    value: Option<Value>,
+    #[serde(rename = "stamp")]
+    version: u64,
 }
 
 impl TryFrom<AnyEvent> for Event {
     type Error = &'static str;
-    fn try_from(e: AnyEvent) -> Result<Event, &'static str> {
-        match (e.put, e.remove) {
-            (Some(put), None) => Ok(Event::Put {
-                put,
-                v: e.v.unwrap_or(Value::Null),
-                stamp: e.stamp,
+    fn try_from(event: AnyEvent) -> Result<Event, &'static str> {
+        match (event.put, event.remove) {
+            (Some(key), None) => Ok(Event::Put {
+                key,
+                value: event.value.unwrap_or(Value::Null),
+                version: event.version,
             }),
-            (None, Some(remove)) => Ok(Event::Delete {
-                remove,
-                stamp: e.stamp,
+            (None, Some(key)) => Ok(Event::Delete {
+                key,
+                version: event.version,
             }),
             _ => Err("an event either puts or removes"),
         }
@@ -181,18 +196,23 @@
     /// A key was written.
     Put {
         /// Key.
-        put: String,
+        #[serde(rename = "put")]
+        key: String,
         /// Value.
-        v: Value,
+        #[serde(rename = "v")]
+        value: Value,
         /// Version.
-        stamp: u64,
+        #[serde(rename = "stamp")]
+        version: u64,
     },
     /// A key was deleted.
     Delete {
         /// Key.
-        remove: String,
+        #[serde(rename = "remove")]
+        key: String,
         /// Revision.
-        stamp: u64,
+        #[serde(rename = "stamp")]
+        version: u64,
     },
 }
 /// Path of one key.
--- a/crates/base/src/wire/user.rs
+++ b/crates/base/src/wire/user.rs
@@ -8,54 +8,74 @@
     /// Job id.
     pub id: String,
     /// Class of jobs.
-    pub jobclass: String,
+    #[serde(rename = "jobclass")]
+    pub class: String,
     /// Team.
-    pub owner: String,
+    #[serde(rename = "owner")]
+    pub team: String,
     /// Array, gang or service.
-    pub shape: Shape,
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
     /// Class rank.
-    pub rank: Rank,
+    #[serde(rename = "rank")]
+    pub priority: Priority,
     /// Number of tasks.
-    pub shards: u32,
+    #[serde(rename = "shards")]
+    pub task_count: u32,
     /// CPUs per task.
-    pub cores: f64,
+    #[serde(rename = "cores")]
+    pub cpus: f64,
     /// GPUs per task.
-    pub accelerators: f64,
+    #[serde(rename = "accelerators")]
+    pub gpus: f64,
     /// Memory per task.
-    pub ram_gb: f64,
+    #[serde(rename = "ram_gb")]
+    pub memory_gb: f64,
     /// Image.
-    pub bundle: String,
+    #[serde(rename = "bundle")]
+    pub image: String,
     /// Size of the image.
-    pub size_gb: f64,
+    #[serde(rename = "size_gb")]
+    pub image_gb: f64,
     /// Allowed machine types.
     #[serde(default)]
-    pub rigs: Option<Vec<String>>,
+    #[serde(rename = "rigs")]
+    pub machine_types: Option<Vec<String>>,
     /// Only allowed zone.
     #[serde(default)]
-    pub yard: Option<String>,
+    #[serde(rename = "yard")]
+    pub zone: Option<String>,
     /// All tasks in one zone.
-    pub together: bool,
+    #[serde(rename = "together")]
+    pub single_zone: bool,
     /// At most half of the tasks in one zone.
-    pub scatter: bool,
+    #[serde(rename = "scatter")]
+    pub zone_spread: bool,
     /// May use spot machines.
-    pub loaners: bool,
+    #[serde(rename = "loaners")]
+    pub allow_spot: bool,
     /// Estimated run time.
-    pub expected_s: f64,
+    #[serde(rename = "expected_s")]
+    pub estimated_run_time_s: f64,
     /// Checkpoint interval.
-    pub bookmark_s: f64,
+    #[serde(rename = "bookmark_s")]
+    pub checkpoint_interval_s: f64,
     /// Time to save.
-    pub flush_s: f64,
+    #[serde(rename = "flush_s")]
+    pub checkpoint_save_time_s: f64,
     /// Deadline.
     #[serde(default)]
-    pub due_s: Option<f64>,
+    #[serde(rename = "due_s")]
+    pub deadline_s: Option<f64>,
     /// Jobs that must be done before any task of this one starts.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub waits_on: Option<Vec<String>>,
+    #[serde(rename = "waits_on")]
+    pub dependencies: Option<Vec<String>>,
 }
 
 /// Kinds of job on the wire.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
-pub enum Shape {
+pub enum JobKind {
     /// Independent tasks that run to completion.
     #[serde(rename = "batch")]
     Array,
@@ -69,7 +89,7 @@
 
 /// Class ranks on the wire, highest first.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Rank {
+pub enum Priority {
     /// Production.
     #[serde(rename = "critical")]
     Production,
@@ -113,7 +133,8 @@
     pub running: u32,
     /// Jobs that it still waits for.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub waits_on: Vec<String>,
+    #[serde(rename = "waits_on")]
+    pub dependencies: Vec<String>,
 }
 
 /// Whether an id has the only form that ids have: `req-` and digits.
@@ -125,10 +146,10 @@
 /// The id that a body names which is no submission, if it names one.
 pub fn id_in(body: &[u8]) -> Option<String> {
     #[derive(Deserialize)]
-    struct Named {
+    struct DependencyCheck {
         id: String,
     }
-    super::decode(body).ok().map(|n: Named| n.id)
+    super::decode(body).ok().map(|n: DependencyCheck| n.id)
 }
 
 /// Where a path under the job prefix leads.
@@ -138,7 +159,7 @@
     /// One job.
     Job(&'a str),
     /// Its withdrawal.
-    Withdraw(&'a str),
+    Cancel(&'a str),
 }
 
 /// Reads a job path.
@@ -150,7 +171,7 @@
     let rest = rest.strip_prefix('/')?;
     match rest.split_once('/') {
         None if !rest.is_empty() => Some(Route::Job(rest)),
-        Some((id, "withdraw")) => Some(Route::Withdraw(id)),
+        Some((id, "withdraw")) => Some(Route::Cancel(id)),
         _ => None,
     }
 }
--- a/crates/base/src/wire/worker.rs
+++ b/crates/base/src/wire/worker.rs
@@ -4,38 +4,48 @@
 
 /// A worker's report.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// Machine.
-    pub deckhand: String,
+    #[serde(rename = "deckhand")]
+    pub machine: String,
     /// Where its worker listens.
     pub address: String,
     /// Machine type.
-    pub rig: String,
+    #[serde(rename = "rig")]
+    pub machine_type: String,
     /// Zone.
-    pub yard: String,
+    #[serde(rename = "yard")]
+    pub zone: String,
     /// Spot machine.
     #[serde(default)]
-    pub loaners: bool,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
     /// Session.
-    pub shift: u64,
+    #[serde(rename = "shift")]
+    pub session: u64,
     /// Sequence number.
-    pub tick: u64,
+    #[serde(rename = "tick")]
+    pub sequence: u64,
     /// Highest token seen.
     #[serde(default)]
-    pub baton: u64,
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
     /// Seconds until the cloud takes the machine.
     #[serde(default)]
-    pub recall_s: Option<f64>,
+    #[serde(rename = "recall_s")]
+    pub preemption_notice_s: Option<f64>,
     /// Tasks.
     #[serde(default)]
-    pub shards: Vec<TaskReport>,
+    #[serde(rename = "shards")]
+    pub tasks: Vec<ReportedTask>,
 }
 
 /// One task in a report.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct TaskReport {
+pub struct ReportedTask {
     /// Task name, `job/index`.
-    pub shard: String,
+    #[serde(rename = "shard")]
+    pub task: String,
     /// Attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
@@ -43,7 +53,8 @@
     pub status: TaskStatus,
     /// Why it ended.
     #[serde(default)]
-    pub cause: Option<Cause>,
+    #[serde(rename = "cause")]
+    pub reason: Option<ExitReason>,
     /// Whether its progress was saved.
     #[serde(default)]
     pub saved: Option<bool>,
@@ -70,7 +81,7 @@
 /// Why a task exited.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitReason {
     /// Completed.
     Done,
     /// Stopped by command.
@@ -96,24 +107,28 @@
 
 /// Orders to a worker, in a response or sent directly.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Orders {
+pub struct CommandBatch {
     /// Token.
-    pub baton: u64,
+    #[serde(rename = "baton")]
+    pub fencing_token: u64,
     /// Session that direct orders are meant for.
     #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub shift: Option<u64>,
+    #[serde(rename = "shift")]
+    pub session: Option<u64>,
     /// What to do.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// One order.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(tag = "verb", rename_all = "lowercase")]
-pub enum Order {
+pub enum Command {
     /// Start an attempt.
     Start {
         /// Task name.
-        shard: String,
+        #[serde(rename = "shard")]
+        task: String,
         /// Attempt.
         #[serde(rename = "try")]
         attempt: u64,
@@ -121,17 +136,21 @@
     /// Stop an attempt.
     Stop {
         /// Task name.
-        shard: String,
+        #[serde(rename = "shard")]
+        task: String,
         /// Attempt.
         #[serde(rename = "try")]
         attempt: u64,
         /// Seconds of grace.
-        wind_down_s: f64,
+        #[serde(rename = "wind_down_s")]
+        grace_period_s: f64,
     },
     /// Take an exited attempt off the reports.
-    Clear {
+    #[serde(rename = "clear")]
+    Forget {
         /// Task name.
-        shard: String,
+        #[serde(rename = "shard")]
+        task: String,
         /// Attempt.
         #[serde(rename = "try")]
         attempt: u64,
@@ -140,10 +159,11 @@
 
 /// Sends a worker to the node that drives it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Redirect {
+pub struct LeaderRedirect {
     /// Node name.
     #[serde(skip_serializing_if = "Option::is_none", default)]
-    pub foreman: Option<String>,
+    #[serde(rename = "foreman")]
+    pub report_to: Option<String>,
 }
 
 /// Paths.
--- a/src/autoscaler/model.rs
+++ b/src/autoscaler/model.rs
@@ -1,12 +1,12 @@
 //! Machines as the program keeps them.
 
-use crate::ids::HostId;
+use crate::ids::MachineId;
 use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 
 /// What is wanted of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum HostState {
+pub enum MachineState {
     /// Rented or listed; its worker has not reported yet.
     #[serde(rename = "b")]
     Booting,
@@ -21,7 +21,7 @@
     Closing,
     /// Fails or slows its tasks: nothing new starts.
     #[serde(rename = "k")]
-    Sick,
+    Quarantined,
     /// Silent: to be returned with all that is on it.
     #[serde(rename = "l")]
     Lost,
@@ -32,10 +32,10 @@
 
 /// A machine. Its key is deleted only once nothing can be on it any more.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Host {
+pub struct MachineRecord {
     /// Machine type.
     #[serde(rename = "t")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "z")]
     pub zone: String,
@@ -44,26 +44,26 @@
     pub spot: bool,
     /// Worker's address, once known.
     #[serde(rename = "a")]
-    pub addr: Option<String>,
+    pub address: Option<String>,
     /// Worker's session; 0 until it reported.
     #[serde(rename = "s")]
     pub session: u64,
     /// What is wanted of it.
     #[serde(rename = "st")]
-    pub state: HostState,
+    pub state: MachineState,
     /// Time of day of the rental, or when it was first seen.
     #[serde(rename = "r")]
-    pub rented: Micros,
+    pub rented_at: Micros,
 }
 
 /// Machines of one kind: a rental about to be made (the request's name is written before the
 /// request), and then the machines that came of it, or that were found in the cloud's list. It stays
 /// until each of them has a key of its own, or was returned.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Charter {
+pub struct ScaleOutRequest {
     /// Machine type.
     #[serde(rename = "t")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "z")]
     pub zone: String,
@@ -75,44 +75,44 @@
     pub count: u32,
     /// Time of day.
     #[serde(rename = "at")]
-    pub at: Micros,
+    pub requested_at: Micros,
     /// The machines, once known.
     #[serde(rename = "m", default)]
-    pub names: Vec<String>,
+    pub machines: Vec<String>,
 }
 
-impl Charter {
+impl ScaleOutRequest {
     /// A machine of it of which nothing else is known.
-    pub fn host(&self) -> Host {
-        Host {
-            kind: self.kind.clone(),
+    pub fn machine(&self) -> MachineRecord {
+        MachineRecord {
+            machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            addr: None,
+            address: None,
             session: 0,
-            state: HostState::Booting,
-            rented: self.at,
+            state: MachineState::Booting,
+            rented_at: self.requested_at,
         }
     }
 
     /// Whether the cloud has not answered yet.
     pub fn open(&self) -> bool {
-        self.names.is_empty()
+        self.machines.is_empty()
     }
 }
 
 /// Machines on their way back to the cloud, marked with one write. Where a key names a machine, that
 /// overrides the machine's own key.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Leaving {
+pub struct TerminationBatch {
     /// The machines.
     #[serde(rename = "m")]
-    pub names: Vec<HostId>,
+    pub machines: Vec<MachineId>,
     /// The cloud has answered 200: they are gone with all that was on them. Their keys are deleted when
     /// writes are to spare, and then this one.
     #[serde(rename = "g", default)]
-    pub gone: bool,
+    pub terminated: bool,
     /// They were given up: they go with all that is on them, and not only while they are empty.
     #[serde(rename = "l", default, skip_serializing_if = "std::ops::Not::not")]
-    pub lost: bool,
+    pub declared_dead: bool,
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,12 +1,12 @@
 //! Command line.
 
-use crate::controller::Node;
+use crate::controller::Controller;
 use crate::jobs::model::JobId;
 use crate::policy::Policy;
 use crate::settings::Settings;
 use crate::time::SECOND;
-use crate::wire::client::{Answer, Client};
-use crate::wire::{Refused, decode, encode};
+use crate::wire::client::{Client, ClientResponse};
+use crate::wire::{ErrorBody, decode, encode};
 use async_executor::LocalExecutor;
 use ciborium::Value;
 use clap::{Parser, Subcommand};
@@ -97,7 +97,7 @@
     Layout,
     Pipelines,
     Jobs,
-    Served,
+    ServiceLevels,
 }
 
 /// Exit code for settings or policy that cannot be used.
@@ -137,7 +137,7 @@
         Command::Inspect { node, what, id } => {
             let path = match what {
                 What::Jobs => "/inspect/jobs",
-                What::Served => "/inspect/served",
+                What::ServiceLevels => "/inspect/served",
                 What::Members => "/inspect/members",
                 What::Parts => "/inspect/parts",
                 What::Machines => "/inspect/machines",
@@ -187,7 +187,7 @@
         Err(e) => return fail(e, BAD_SETTINGS),
     };
     let ex = Rc::new(LocalExecutor::new());
-    let node = Node::new(s, p, ex.clone());
+    let node = Controller::new(s, p, ex.clone());
     match async_io::block_on(ex.run(node.run())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => fail(e, 1),
@@ -224,7 +224,7 @@
     let http = Client::new(1);
     let res = async_io::block_on(http.call(node, method, path, body, 5 * SECOND));
     match res {
-        Ok(Answer { status, body }) => {
+        Ok(ClientResponse { status, body }) => {
             let shown = || {
                 let v = decode::<Value>(&body).ok()?;
                 serde_json::to_string_pretty(&v).ok()
@@ -233,7 +233,7 @@
                 println!("{}", shown().unwrap_or_default());
                 ExitCode::SUCCESS
             } else {
-                let reason = decode::<Refused>(&body).ok().map(|r| r.error);
+                let reason = decode::<ErrorBody>(&body).ok().map(|r| r.error);
                 let said = reason.or_else(shown);
                 let said = said.unwrap_or_else(|| meaning(status).into());
                 fail(format!("status {status}: {said}"), 1)
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,21 +1,21 @@
 //! The node: shared state, and the loops that bring what is to what is wanted.
 
-use crate::autoscaler::reconciler::Rentals;
-use crate::fairness::service_levels::Watch;
-use crate::jobs::commit::Limits;
+use crate::autoscaler::reconciler::ProvisioningErrors;
+use crate::fairness::service_levels::ServiceLevelMonitor;
+use crate::jobs::commit::TransactionLimits;
 use crate::membership::Membership;
 use crate::policy::Policy;
-use crate::reconciliation::{Control, REQUEST_SHARE, WRITE_SHARE};
+use crate::reconciliation::{REQUEST_SHARE, Reconciler, WRITE_SHARE};
 use crate::settings::{Settings, StateLimits};
 use crate::store::client::StoreClient;
-use crate::store::cluster_state::View;
+use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
-use crate::store::watch_cache::Feed;
+use crate::store::watch_cache::WatchCache;
 use crate::time::{Clock, Micros, dur, wall};
 use crate::wire::client::Client;
-use crate::wire::server::{Ask, Gauge, Reply, serve};
+use crate::wire::server::{ConnectionGauge, Request, Response, serve};
 use crate::wire::{peer, worker};
-use crate::workers::Fleet;
+use crate::workers::WorkerRegistry;
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use async_net::TcpListener;
@@ -24,7 +24,7 @@
 use std::rc::Rc;
 
 /// One controller.
-pub struct Node {
+pub struct Controller {
     /// Settings.
     pub settings: Settings,
     /// Policy.
@@ -32,32 +32,32 @@
     /// Steady clock.
     pub clock: Clock,
     /// Executor.
-    pub ex: Rc<LocalExecutor<'static>>,
+    pub executor: Rc<LocalExecutor<'static>>,
     /// Connections.
     pub http: Rc<Client>,
     /// The view, fed by the state service.
-    pub feed: Feed,
+    pub watch_cache: WatchCache,
     /// Membership and peers.
-    pub members: Membership,
+    pub membership: Membership,
     /// Machines of our parts.
-    pub fleet: Fleet,
+    pub workers: WorkerRegistry,
     /// What the cloud refused.
-    pub rentals: Rentals,
+    pub provisioning_errors: ProvisioningErrors,
     /// The control loop's memory.
-    pub control: Control,
+    pub reconciler: Reconciler,
     /// Which classes and teams get too little, while we lead.
-    pub served: RefCell<Watch>,
-    firsts: RefCell<Vec<First>>,
+    pub service_level_monitor: RefCell<ServiceLevelMonitor>,
+    firsts: RefCell<Vec<StartupMilestone>>,
 }
 
 /// What a controller does for the first time since it started: said once each, so that the log shows how
 /// long it took to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum First {
+pub enum StartupMilestone {
     /// A user had an answer.
     User,
     /// A worker's report was answered.
-    Report,
+    Heartbeat,
     /// A task was told to start.
     Start,
 }
@@ -72,106 +72,120 @@
         .map_err(|e| std::io::Error::new(e.kind(), format!("{field} {addr}: {e}")))
 }
 
-impl Node {
+impl Controller {
     /// A node that has not started yet.
-    pub fn new(settings: Settings, policy: Policy, ex: Rc<LocalExecutor<'static>>) -> Rc<Node> {
+    pub fn new(
+        settings: Settings,
+        policy: Policy,
+        ex: Rc<LocalExecutor<'static>>,
+    ) -> Rc<Controller> {
         let clock = Clock::start();
         let http = Rc::new(Client::new(settings.max_connections / 5));
-        let n = (settings.siblings.len() + 1) as f64;
+        let n = (settings.peers.len() + 1) as f64;
         let store = StoreClient::new(
             http.clone(),
             settings.state,
             clock,
-            settings.limits.rps * REQUEST_SHARE / n,
-            settings.limits.write_rps * WRITE_SHARE / n,
+            settings.state_limits.rps * REQUEST_SHARE / n,
+            settings.state_limits.write_rps * WRITE_SHARE / n,
         );
-        Rc::new(Node {
+        Rc::new(Controller {
             settings,
             policy,
             clock,
-            ex,
+            executor: ex,
             http,
-            feed: Feed::new(store, clock),
-            members: Membership::default(),
-            fleet: Fleet::default(),
-            rentals: Rentals::default(),
-            control: Control::default(),
-            served: RefCell::default(),
+            watch_cache: WatchCache::new(store, clock),
+            membership: Membership::default(),
+            workers: WorkerRegistry::default(),
+            provisioning_errors: ProvisioningErrors::default(),
+            reconciler: Reconciler::default(),
+            service_level_monitor: RefCell::default(),
             firsts: RefCell::default(),
         })
     }
 
     /// Starts every loop and serves for ever.
-    pub async fn run(self: Rc<Node>) -> std::io::Result<()> {
-        let front = listen("front", self.settings.front).await?;
+    pub async fn run(self: Rc<Controller>) -> std::io::Result<()> {
+        let front = listen("front", self.settings.listen).await?;
         let peers = listen("peer_bind", self.settings.peer_bind).await?;
-        tracing::info!(node = %self.settings.node, front = %self.settings.front, "started");
+        tracing::info!(node = %self.settings.node, front = %self.settings.listen, "started");
         macro_rules! spawn {
             ($f:ident) => {{
                 let n = self.clone();
-                self.ex.spawn(async move { n.$f().await }).detach();
+                self.executor.spawn(async move { n.$f().await }).detach();
             }};
         }
-        macro_rules! feed {
+        macro_rules! watch_cache {
             ($f:ident) => {{
                 let n = self.clone();
-                self.ex.spawn(async move { n.feed.$f().await }).detach();
+                self.executor
+                    .spawn(async move { n.watch_cache.$f().await })
+                    .detach();
             }};
         }
-        feed!(watch_loop);
-        feed!(barrier_loop);
-        feed!(gates_loop);
+        watch_cache!(watch_loop);
+        watch_cache!(linearizable_read_loop);
+        watch_cache!(dependency_lookup_loop);
         spawn!(lease_loop);
-        spawn!(parts_loop);
-        spawn!(control_loop);
-        spawn!(lead_loop);
-        spawn!(counts_loop);
+        spawn!(shard_loop);
+        spawn!(reconcile_loop);
+        spawn!(autoscaler_loop);
+        spawn!(task_counts_loop);
         spawn!(peer_loop);
-        let gauge = Rc::new(Gauge::default());
+        let gauge = Rc::new(ConnectionGauge::default());
         // Some sockets stay for our own calls.
         let max = self.settings.max_connections * 9 / 10;
         let n = self.clone();
-        let on_peer = move |a: Ask| {
+        let on_peer = move |a: Request| {
             let n = n.clone();
             async move { n.on_peer(a).await }
         };
-        self.ex
-            .spawn(serve(self.ex.clone(), peers, gauge.clone(), max, on_peer))
+        self.executor
+            .spawn(serve(
+                self.executor.clone(),
+                peers,
+                gauge.clone(),
+                max,
+                on_peer,
+            ))
             .detach();
         let n = self.clone();
-        let on_front = move |a: Ask| {
+        let on_front = move |a: Request| {
             let n = n.clone();
             async move { n.on_front(a).await }
         };
-        serve(self.ex.clone(), front, gauge, max, on_front).await;
+        serve(self.executor.clone(), front, gauge, max, on_front).await;
         Ok(())
     }
 
-    async fn on_front(&self, a: Ask) -> Reply {
+    async fn on_front(&self, a: Request) -> Response {
         if a.path == worker::REPORT {
             return match (a.method, &a.body) {
-                (Method::Post, Some(b)) => self.on_report(b),
-                (Method::Post, None) => Reply::status(400),
-                _ => Reply::status(405),
+                (Method::Post, Some(b)) => self.on_heartbeat(b),
+                (Method::Post, None) => Response::status(400),
+                _ => Response::status(405),
             };
         }
         if a.path == "/healthz" {
             return match a.method {
-                Method::Get | Method::Head => Reply::status(if self.healthy() { 200 } else { 503 }),
-                _ => Reply::status(405),
+                Method::Get | Method::Head => {
+                    Response::status(if self.healthy() { 200 } else { 503 })
+                }
+                _ => Response::status(405),
             };
         }
         if a.path.starts_with("/api/jobs") {
             let reply = self.on_user_or_forward(a).await;
             if reply.status < 429 {
-                self.first(First::User);
+                self.first(StartupMilestone::User);
             }
             return reply;
         }
-        Reply::status(404)
+        Response::status(404)
     }
 
-    async fn on_peer(&self, a: Ask) -> Reply {
+    async fn on_peer(&self, a: Request) -> Response {
         if a.path == peer::FORWARD {
             return self.on_forward(a.body.as_deref().unwrap_or_default()).await;
         }
@@ -179,28 +193,28 @@
             return self.inspect(&a.path);
         };
         if b.is_empty() {
-            return Reply::status(400);
+            return Response::status(400);
         }
-        self.on_hello(&b)
+        self.on_peer_heartbeat(&b)
     }
 
     /// Whether users should be sent here.
     pub fn healthy(&self) -> bool {
-        if !self.feed.loaded() {
+        if !self.watch_cache.loaded() {
             return false;
         }
-        self.feed.current() || self.common_outage()
+        self.watch_cache.current() || self.common_outage()
     }
 
     /// Whether the state service is away for every controller, not for us alone: then there is no
     /// better node to send anyone to. It says nothing of what others accepted before.
     pub fn common_outage(&self) -> bool {
-        self.members
-            .common_outage(self.settings.siblings.len(), self.clock.now())
+        self.membership
+            .common_outage(self.settings.peers.len(), self.clock.now())
     }
 
     /// Says that something was done, the first time.
-    pub fn first(&self, what: First) {
+    pub fn first(&self, what: StartupMilestone) {
         let mut done = self.firsts.borrow_mut();
         if !done.contains(&what) {
             done.push(what);
@@ -221,39 +235,43 @@
 
     /// The term under which we drive a part, if we do: ours, and everything that its older owners
     /// wrote is in the view.
-    pub fn term(&self, view: &View, part: u32) -> Option<u64> {
-        let p = view.parts.get(&part)?;
-        let ours = p.owner == self.me() && self.members.drives(p.lease);
-        (ours && self.feed.loaded() && view.rev >= view.stamp(&keys::part(part))).then_some(p.term)
+    pub fn term(&self, view: &ClusterState, shard: u32) -> Option<u64> {
+        let p = view.shards.get(&shard)?;
+        let ours = p.owner == self.me() && self.membership.drives(p.lease);
+        (ours && self.watch_cache.loaded() && view.revision >= view.version(&keys::shard(shard)))
+            .then_some(p.term)
     }
 
     /// Limits of the state service that we keep to. Lower ones come into force without notice, so
     /// they are kept from the moment when every controller can.
     pub fn state_limits(&self) -> StateLimits {
-        match (self.settings.next, self.feed.view().layout) {
+        match (
+            self.settings.next_state_limits,
+            self.watch_cache.view().layout,
+        ) {
             (Some(next), Some(_)) => next,
-            _ => self.settings.limits,
+            _ => self.settings.state_limits,
         }
     }
 
     /// Bytes that a value may have, counted as JSON, with some reserve.
     pub fn value_limit(&self) -> usize {
         self.state_limits()
-            .value_bytes
+            .max_value_bytes
             .saturating_sub(VALUE_RESERVE)
     }
 
     /// Limits of a transaction.
-    pub fn limits(&self) -> Limits {
-        let layout = self.feed.view().layout.is_some();
-        Limits {
-            ops: self.state_limits().txn_ops,
-            merge: (self.feed.client().write_level().1 / 2.0) as usize,
-            bytes: 48 * 1024,
-            value: self.value_limit(),
-            layout,
-            packed: layout && self.settings.next.is_some(),
-            wall: wall(),
+    pub fn limits(&self) -> TransactionLimits {
+        let layout = self.watch_cache.view().layout.is_some();
+        TransactionLimits {
+            max_mutations: self.state_limits().max_mutations,
+            max_merged_mutations: (self.watch_cache.client().write_level().1 / 2.0) as usize,
+            max_bytes: 48 * 1024,
+            max_value_bytes: self.value_limit(),
+            newer_layout: layout,
+            packed: layout && self.settings.next_state_limits.is_some(),
+            wall_clock: wall(),
         }
     }
 }
--- a/src/fairness/minimum_share.rs
+++ b/src/fairness/minimum_share.rs
@@ -7,7 +7,7 @@
 
 use crate::settings::Objective;
 use crate::time::{Micros, SECOND};
-use crate::wire::user::Rank;
+use crate::wire::user::Priority;
 
 /// Of the room in which the arrays of a scope run, all starved classes together get this share.
 pub const SHARE: f64 = 1.0 / 3.0;
@@ -19,9 +19,9 @@
 /// The arrays of one class within one scope: the team whose limit binds, or everybody else. CPUs in
 /// thousandths.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
+pub struct ClassDemand {
     /// Rank of the class.
-    pub rank: Rank,
+    pub rank: Priority,
     /// Q: what its waiting tasks would take.
     pub waiting: i64,
     /// R: what its running tasks take.
@@ -32,7 +32,7 @@
     pub overdue: bool,
 }
 
-impl Standing {
+impl ClassDemand {
     /// One more job of the class.
     pub fn add(&mut self, waiting: i64, running: i64, estimate: Micros) {
         let (old, new) = (self.waiting + self.running, waiting + running);
@@ -71,9 +71,9 @@
 /// arrays. A class is starved if a job of it is overdue and one of higher rank has less of its work
 /// pending. All starved classes together get `SHARE` of what runs, less what they run already: whoever
 /// runs that much gets nothing ahead of its rank.
-pub fn floor(list: &[Standing]) -> Vec<i64> {
+pub fn minimum_share(list: &[ClassDemand]) -> Vec<i64> {
     let longest = list.iter().map(|s| s.time).fold(0.0, f64::max);
-    let starved = |s: &Standing| {
+    let starved = |s: &ClassDemand| {
         let mut higher = list.iter().filter(|h| h.rank < s.rank && h.running > 0);
         s.overdue && s.waiting > 0 && higher.any(|h| h.pending(longest) < s.pending(longest))
     };
--- a/src/fairness/minimum_share/tests.rs
+++ b/src/fairness/minimum_share/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use proptest::prelude::*;
 
-fn class(rank: Rank, waiting: i64, running: i64, overdue: bool) -> Standing {
-    Standing {
+fn class(rank: Priority, waiting: i64, running: i64, overdue: bool) -> ClassDemand {
+    ClassDemand {
         rank,
         waiting,
         running,
@@ -22,10 +22,10 @@
     for step in 0..40 {
         let overdue = step >= 10;
         let list = [
-            class(Rank::Normal, 500, normal, false),
-            class(Rank::Low, 300, low, overdue),
+            class(Priority::Normal, 500, normal, false),
+            class(Priority::Low, 300, low, overdue),
         ];
-        let f = floor(&list);
+        let f = minimum_share(&list);
         assert_eq!(f[0], 0);
         assert!(overdue || f[1] == 0);
         // A tenth of what runs ends in each step; the floor goes first, then rank.
@@ -53,10 +53,10 @@
     fn nobody_starves_and_nobody_of_higher_rank_waits_beyond_the_floor(
         list in proptest::collection::vec((0usize..4, 0i64..50, 0i64..50, any::<bool>()), 1..6),
     ) {
-        let ranks = [Rank::Production, Rank::High, Rank::Normal, Rank::Low];
-        let list: Vec<Standing> = list.iter()
+        let ranks = [Priority::Production, Priority::High, Priority::Normal, Priority::Low];
+        let list: Vec<ClassDemand> = list.iter()
             .map(|(r, q, n, o)| class(ranks[*r], q * 1000, n * 1000, *o)).collect();
-        let f = floor(&list);
+        let f = minimum_share(&list);
         let running: i64 = list.iter().map(|s| s.running).sum();
         prop_assert!(f.iter().sum::<i64>() as f64 <= running as f64 * SHARE);
         let top = list.iter().map(|s| s.rank).min();
--- a/src/fairness/mod.rs
+++ b/src/fairness/mod.rs
@@ -32,7 +32,7 @@
 
 /// The raises of one round, one value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Raises {
+pub struct PriorityBoosts {
     /// By job: how many waiting tasks, and to which priority.
     #[serde(rename = "j", default)]
     pub jobs: BTreeMap<String, (u32, u32)>,
@@ -40,7 +40,7 @@
 
 /// An active job as the loop sees it: Q, R, t and P of the design.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Activity {
+pub struct JobActivity {
     /// Job.
     pub id: String,
     /// Q: waiting tasks.
@@ -87,7 +87,7 @@
 }
 
 /// T of equation 4 for each activity.
-fn relative(list: &[Activity]) -> Vec<f64> {
+fn relative(list: &[JobActivity]) -> Vec<f64> {
     let max = list.iter().filter_map(|a| a.median).fold(0.0, f64::max);
     list.iter()
         .map(|a| match a.median {
@@ -98,7 +98,7 @@
 }
 
 /// w of equation 3 for each activity.
-pub fn pending(list: &[Activity]) -> Vec<f64> {
+pub fn pending(list: &[JobActivity]) -> Vec<f64> {
     relative(list)
         .iter()
         .zip(list)
@@ -119,8 +119,8 @@
 
 /// One round of algorithms 1 and 2: Δ of equation 6 for each job above the threshold, raised above
 /// the highest priority in use. Raises of earlier rounds stand while their tasks wait.
-pub fn round(list: &[Activity], threshold: f64, before: &Raises) -> Raises {
-    let mut out = Raises::default();
+pub fn round(list: &[JobActivity], threshold: f64, before: &PriorityBoosts) -> PriorityBoosts {
+    let mut out = PriorityBoosts::default();
     for a in list {
         if let Some((n, p)) = before.jobs.get(&a.id)
             && a.waiting > 0
--- a/src/fairness/rounds.rs
+++ b/src/fairness/rounds.rs
@@ -1,13 +1,13 @@
 //! Rounds: each controller writes its counts, the leader the raises.
 
 use super::service_levels::table;
-use super::{Activity, Counts, JobCount, Raises, merge, round};
-use crate::controller::Node;
-use crate::store::client::Outcome;
+use super::{Counts, JobActivity, JobCount, PriorityBoosts, merge, round};
+use crate::controller::Controller;
+use crate::store::client::TransactionOutcome;
 use crate::store::keys;
 use crate::time::{Micros, wall};
-use crate::wire::state::{Change, Txn};
-use crate::wire::user::Shape;
+use crate::wire::state::{Mutation, Transaction};
+use crate::wire::user::JobKind;
 use crate::wire::{json_size, to_value};
 use crate::workers::longest;
 use std::collections::BTreeMap;
@@ -49,18 +49,18 @@
     out
 }
 
-impl Node {
+impl Controller {
     /// Writes our counts each round, if they changed.
-    pub async fn counts_loop(self: Rc<Node>) {
+    pub async fn task_counts_loop(self: Rc<Controller>) {
         let mut last = Counts::default();
         loop {
             self.sleep(self.policy.fairness_round).await;
-            if !self.feed.loaded() || !self.feed.current() {
+            if !self.watch_cache.loaded() || !self.watch_cache.current() {
                 continue;
             }
             let mut c = self.counts();
             {
-                let view = self.feed.view();
+                let view = self.watch_cache.view();
                 let queued = |id: &str| view.jobs.get(id).map_or(0, |j| j.queued());
                 c.jobs = fitting(c.jobs, self.value_limit(), &|id, _| queued(id));
             }
@@ -68,15 +68,15 @@
                 continue;
             }
             let v = to_value(&c);
-            let t = Txn {
-                guards: Vec::new(),
-                then: vec![Change::Put {
-                    put: keys::counts(self.me()),
-                    v,
-                    permit: None,
+            let t = Transaction {
+                preconditions: Vec::new(),
+                mutations: vec![Mutation::Put {
+                    key: keys::counts(self.me()),
+                    value: v,
+                    lease: None,
                 }],
             };
-            if let Outcome::Done(_) = self.feed.txn(&t).await {
+            if let TransactionOutcome::Done(_) = self.watch_cache.transaction(&t).await {
                 last = c;
             }
         }
@@ -84,14 +84,14 @@
 
     fn counts(&self) -> Counts {
         let now = self.clock.now();
-        let view = self.feed.view();
-        let machines = self.fleet.machines();
+        let view = self.watch_cache.view();
+        let machines = self.workers.machines();
         let longest = longest(machines.values(), &view, now);
-        let durations = self.fleet.durations();
+        let durations = self.workers.durations();
         let mut out = Counts::default();
         for (id, j) in &view.jobs {
             // Only where something waits does a raise change anything.
-            if j.spec.kind == Shape::Service {
+            if j.spec.kind == JobKind::Service {
                 continue;
             }
             let d = durations.get(id);
@@ -118,17 +118,21 @@
 
     /// The leader's round.
     pub async fn fairness_round(&self) {
-        self.raise().await;
+        self.boost().await;
         self.add_up().await;
     }
 
     /// Adds up the jobs that ended, and says which class or team gets too little.
     async fn add_up(&self) {
         let t = {
-            let view = self.feed.view();
+            let view = self.watch_cache.view();
             let rows = table(&view, &self.settings.objectives, wall());
             tracing::debug!(?rows, "served");
-            for (who, share) in self.served.borrow_mut().fallen(&rows, self.clock.now()) {
+            for (who, share) in self
+                .service_level_monitor
+                .borrow_mut()
+                .missed_objectives(&rows, self.clock.now())
+            {
                 let share = format!("{share:.2}");
                 tracing::warn!(
                     who,
@@ -137,36 +141,42 @@
                 );
             }
             // An older version does not know the key, and there is nothing to say.
-            if view.layout.is_none() || !view.ends().any(|e| e.rev > view.served.rev) {
+            if view.layout.is_none()
+                || !view
+                    .ends()
+                    .any(|e| e.revision > view.service_levels.revision)
+            {
                 return;
             }
             let ends = view.ends().cloned();
-            let next = view.served.with(ends, view.rev, self.value_limit());
-            Txn {
-                guards: vec![view.guard(keys::SERVED)],
-                then: vec![Change::Put {
-                    put: keys::SERVED.into(),
-                    v: to_value(&next),
-                    permit: None,
+            let next = view
+                .service_levels
+                .with(ends, view.revision, self.value_limit());
+            Transaction {
+                preconditions: vec![view.precondition(keys::SERVICE_LEVELS)],
+                mutations: vec![Mutation::Put {
+                    key: keys::SERVICE_LEVELS.into(),
+                    value: to_value(&next),
+                    lease: None,
                 }],
             }
         };
-        self.feed.txn(&t).await;
+        self.watch_cache.transaction(&t).await;
     }
 
-    async fn raise(&self) {
+    async fn boost(&self) {
         let next = {
-            let view = self.feed.view();
-            let list: Vec<Activity> = view
+            let view = self.watch_cache.view();
+            let list: Vec<JobActivity> = view
                 .jobs
                 .iter()
                 // What waits for other jobs is in no queue yet: Q counts tasks that could start
                 // (section 2, algorithm 1), and a raise could not start them.
-                .filter(|(_, j)| j.spec.kind != Shape::Service && j.ready && !j.cancelled())
+                .filter(|(_, j)| j.spec.kind != JobKind::Service && j.ready && !j.cancelled())
                 .map(|(id, j)| {
                     let (median, performance) =
                         merge(view.counts.values().filter_map(|c| c.jobs.get(&**id)));
-                    Activity {
+                    JobActivity {
                         id: id.to_string(),
                         waiting: j.waiting,
                         running: j.placed,
@@ -175,21 +185,22 @@
                     }
                 })
                 .collect();
-            let mut next: Raises = round(&list, self.policy.fairness_threshold, &view.raises);
+            let mut next: PriorityBoosts =
+                round(&list, self.policy.fairness_threshold, &view.priority_boosts);
             next.jobs = fitting(next.jobs, self.value_limit(), &|_, (n, p)| (*p, *n));
-            if next == view.raises {
+            if next == view.priority_boosts {
                 return;
             }
             next
         };
-        let t = Txn {
-            guards: Vec::new(),
-            then: vec![Change::Put {
-                put: keys::RAISES.into(),
-                v: to_value(&next),
-                permit: None,
+        let t = Transaction {
+            preconditions: Vec::new(),
+            mutations: vec![Mutation::Put {
+                key: keys::PRIORITY_BOOSTS.into(),
+                value: to_value(&next),
+                lease: None,
             }],
         };
-        self.feed.txn(&t).await;
+        self.watch_cache.transaction(&t).await;
     }
 }
--- a/src/fairness/service_levels.rs
+++ b/src/fairness/service_levels.rs
@@ -4,7 +4,7 @@
 use super::minimum_share::patience;
 use super::rounds::fitting;
 use crate::settings::Objective;
-use crate::store::cluster_state::{Job, View};
+use crate::store::cluster_state::{ClusterState, Job};
 use crate::time::{Micros, SECOND};
 use foldhash::HashMap;
 use serde::{Deserialize, Serialize};
@@ -12,7 +12,7 @@
 
 /// Jobs of one class and team that ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct ClassTotals {
     /// All of them.
     #[serde(rename = "a")]
     pub accepted: u64,
@@ -26,20 +26,20 @@
 
 /// The value that the leader writes: everything that ended up to a revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Served {
+pub struct ServiceLevels {
     /// Revision up to which it counts.
     #[serde(rename = "r")]
-    pub rev: u64,
+    pub revision: u64,
     /// By class and team, see `name`.
     #[serde(rename = "e", default)]
-    pub ended: BTreeMap<String, Ended>,
+    pub ended: BTreeMap<String, ClassTotals>,
 }
 
 /// One end of a job, as the view saw it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct End {
+pub struct JobEnd {
     /// Revision at which its record went.
-    pub rev: u64,
+    pub revision: u64,
     /// Class and team, see `name`.
     pub name: String,
     /// Whether a task was started.
@@ -61,18 +61,23 @@
     Some((rest.get(n..)?, rest.get(..n)?))
 }
 
-impl Served {
+impl ServiceLevels {
     /// What it becomes with the ends after its revision. Nothing is counted twice, whichever leader adds
     /// them up. What ended before a new leader had read the state, and no older one had added, is lost.
-    pub fn with(&self, ends: impl Iterator<Item = End>, rev: u64, bytes: usize) -> Served {
+    pub fn with(
+        &self,
+        ends: impl Iterator<Item = JobEnd>,
+        rev: u64,
+        bytes: usize,
+    ) -> ServiceLevels {
         let mut out = self.clone();
-        for e in ends.filter(|e| e.rev > self.rev && e.rev <= rev) {
+        for e in ends.filter(|e| e.revision > self.revision && e.revision <= rev) {
             let x = out.ended.entry(e.name).or_default();
             x.accepted += 1;
             x.started += u64::from(e.started);
             x.done += u64::from(e.done);
         }
-        out.rev = rev;
+        out.revision = rev;
         out.ended = fitting(out.ended, bytes, &|_, x| x.accepted);
         out
     }
@@ -80,7 +85,7 @@
 
 /// What one class of one team came to.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Row {
+pub struct ServiceLevelRow {
     /// Class.
     pub class: String,
     /// Team.
@@ -105,10 +110,12 @@
 }
 
 /// All classes and teams. What waits for other jobs counts from when it may start.
-pub fn table(v: &View, objectives: &[Objective], wall: Micros) -> Vec<Row> {
+pub fn table(v: &ClusterState, objectives: &[Objective], wall: Micros) -> Vec<ServiceLevelRow> {
     // With the ends that the value does not count yet.
-    let all = v.served.with(v.ends().cloned(), u64::MAX, usize::MAX);
-    let mut rows: BTreeMap<(&str, &str), Row> = BTreeMap::new();
+    let all = v
+        .service_levels
+        .with(v.ends().cloned(), u64::MAX, usize::MAX);
+    let mut rows: BTreeMap<(&str, &str), ServiceLevelRow> = BTreeMap::new();
     for (key, e) in &all.ended {
         if let Some(k) = parse(key) {
             let r = rows.entry(k).or_default();
@@ -122,13 +129,13 @@
             r.started += 1;
             continue;
         }
-        let age = wall.saturating_sub(j.since);
+        let age = wall.saturating_sub(j.waiting_since);
         r.waiting += 1;
         r.oldest_s = r.oldest_s.max(age as f64 / 1e6);
         r.overdue += u64::from(age > patience(objectives, &j.spec.class));
     }
     rows.into_iter()
-        .map(|((class, team), r)| Row {
+        .map(|((class, team), r)| ServiceLevelRow {
             class: class.into(),
             team: team.into(),
             ..r
@@ -141,12 +148,16 @@
 
 /// Since when each class and each team is below half, and whether that was said.
 #[derive(Default)]
-pub struct Watch(HashMap<String, (Micros, bool)>);
+pub struct ServiceLevelMonitor(HashMap<String, (Micros, bool)>);
 
-impl Watch {
+impl ServiceLevelMonitor {
     /// Classes and teams of which less than half was started in time, for a minute now, and that were not
     /// named before; with their shares.
-    pub fn fallen(&mut self, rows: &[Row], now: Micros) -> Vec<(String, f64)> {
+    pub fn missed_objectives(
+        &mut self,
+        rows: &[ServiceLevelRow],
+        now: Micros,
+    ) -> Vec<(String, f64)> {
         let mut sums: BTreeMap<String, (u64, u64)> = BTreeMap::new();
         for r in rows {
             for who in [format!("class {}", r.class), format!("team {}", r.team)] {
--- a/src/fairness/tests.rs
+++ b/src/fairness/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn act(id: &str, q: u32, r: u32, t: Option<f64>, p: f64) -> Activity {
-    Activity {
+fn act(id: &str, q: u32, r: u32, t: Option<f64>, p: f64) -> JobActivity {
+    JobActivity {
         id: id.into(),
         waiting: q,
         running: r,
@@ -19,7 +19,7 @@
     let w = pending(&list);
     assert_eq!((w[0] * 100.0).round(), 27.0);
     assert_eq!((unfairness(&w) * 100.0).round(), 73.0);
-    let r = round(&list, 0.2, &Raises::default());
+    let r = round(&list, 0.2, &PriorityBoosts::default());
     assert_eq!(r.jobs.get("2"), Some(&(4, 2)));
     assert!(!r.jobs.contains_key("1"));
     // Four tasks of workflow 2 start: fair again.
--- a/src/jobs/commit.rs
+++ b/src/jobs/commit.rs
@@ -3,23 +3,26 @@
 //! Each intent is checked again against the view when it is staged, and its transaction guards the
 //! versions that it was staged on: a late or repeated transaction changes nothing.
 
-use super::model::{AnyRecord, BLOCK, Block, Final, Ids, JobId, Placement, Slot, Spec, Stored};
-use crate::ids::HostId;
-use crate::membership::part_of;
-use crate::store::cluster_state::{Job, View};
+use super::model::{
+    BLOCK, FinishedJob, JobId, JobIdList, JobSpec, Placement, StoredBlock, StoredJobRecord,
+    TaskBlock, TaskState,
+};
+use crate::ids::MachineId;
+use crate::membership::shard_of;
+use crate::store::cluster_state::{ClusterState, Job};
 use crate::store::keys;
 use crate::time::Micros;
-use crate::wire::state::{Change, Guard, Txn};
-use crate::wire::user::Shape;
+use crate::wire::state::{Mutation, Precondition, Transaction};
+use crate::wire::user::JobKind;
 use crate::wire::{json_size, to_value};
 use foldhash::HashSet;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A wanted change of a job.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Intent {
+pub enum JobChange {
     /// An attempt has left its machine; `done` if it completed.
-    Left {
+    AttemptEnded {
         /// Job.
         job: JobId,
         /// Task.
@@ -45,115 +48,120 @@
         /// Job.
         job: JobId,
         /// Task, machine, session.
-        tasks: Vec<(u32, HostId, u64)>,
+        tasks: Vec<(u32, MachineId, u64)>,
     },
     /// Whatever the job's slots say about its end should be written.
-    Settle {
+    Finalize {
         /// Job.
         job: JobId,
     },
 }
 
-impl Intent {
+impl JobChange {
     /// The job.
     pub fn job(&self) -> &JobId {
         match self {
-            Intent::Left { job, .. }
-            | Intent::Stop { job, .. }
-            | Intent::Place { job, .. }
-            | Intent::Settle { job } => job,
+            JobChange::AttemptEnded { job, .. }
+            | JobChange::Stop { job, .. }
+            | JobChange::Place { job, .. }
+            | JobChange::Finalize { job } => job,
         }
     }
 }
 
 /// A transaction with the jobs it is about.
 #[derive(Debug)]
-pub struct Staged {
+pub struct StagedTransaction {
     /// The transaction.
-    pub txn: Txn,
+    pub transaction: Transaction,
     /// Jobs.
     pub jobs: Vec<JobId>,
 }
 
 /// Limits of a transaction.
 #[derive(Clone, Copy, Debug)]
-pub struct Limits {
+pub struct TransactionLimits {
     /// Puts and deletes.
-    pub ops: usize,
+    pub max_mutations: usize,
     /// Changes of different jobs that go together: one large debt would keep users waiting.
-    pub merge: usize,
+    pub max_merged_mutations: usize,
     /// Bytes overall, with some reserve.
-    pub bytes: usize,
+    pub max_bytes: usize,
     /// Bytes of a value, counted as JSON, with some reserve.
-    pub value: usize,
+    pub max_value_bytes: usize,
     /// Whether every controller reads what this version writes.
-    pub layout: bool,
+    pub newer_layout: bool,
     /// Whether blocks are written packed, and split where they outgrow a value.
     pub packed: bool,
     /// Time of day.
-    pub wall: Micros,
+    pub wall_clock: Micros,
 }
 
-impl Limits {
+impl TransactionLimits {
     /// Conditions that a transaction may have.
-    fn guards(&self) -> usize {
-        self.ops * 4
+    fn preconditions(&self) -> usize {
+        self.max_mutations * 4
     }
 }
 
 /// What a team with limits still may use, at staging: the usage is read from the same view whose
 /// versions are guarded.
-pub type Capped<'a> = &'a dyn Fn(&str) -> bool;
+pub type HasTeamLimit<'a> = &'a dyn Fn(&str) -> bool;
 
 #[derive(Default)]
 struct Group {
-    guards: BTreeMap<String, u64>,
-    changes: Vec<Change>,
+    preconditions: BTreeMap<String, u64>,
+    changes: Vec<Mutation>,
     bytes: usize,
 }
 
 /// Turns intents into transactions. Jobs in `busy` have a transaction under way and wait.
 pub fn stage(
-    view: &View,
-    intents: &[Intent],
+    view: &ClusterState,
+    intents: &[JobChange],
     busy: &HashSet<JobId>,
-    capped: Capped<'_>,
-    limits: Limits,
-) -> Vec<Staged> {
-    let mut by_job: BTreeMap<&JobId, Vec<&Intent>> = BTreeMap::new();
+    capped: HasTeamLimit<'_>,
+    limits: TransactionLimits,
+) -> Vec<StagedTransaction> {
+    let mut by_job: BTreeMap<&JobId, Vec<&JobChange>> = BTreeMap::new();
     for i in intents {
         if !busy.contains(i.job()) {
             by_job.entry(i.job()).or_default().push(i);
         }
     }
-    let mut out: Vec<Staged> = Vec::new();
+    let mut out: Vec<StagedTransaction> = Vec::new();
     let mut bytes = 0;
     for (job, list) in by_job {
         let Some(g) = group(view, job, &list, capped, limits) else {
             continue;
         };
-        let room = out.last().is_some_and(|s: &Staged| {
-            s.txn.then.len() + g.changes.len() <= limits.merge.min(limits.ops)
-                && s.txn.guards.len() + g.guards.len() <= limits.ops * 3
-                && bytes + g.bytes <= limits.bytes
+        let room = out.last().is_some_and(|s: &StagedTransaction| {
+            s.transaction.mutations.len() + g.changes.len()
+                <= limits.max_merged_mutations.min(limits.max_mutations)
+                && s.transaction.preconditions.len() + g.preconditions.len()
+                    <= limits.max_mutations * 3
+                && bytes + g.bytes <= limits.max_bytes
         });
         if !room {
-            out.push(Staged {
-                txn: Txn::default(),
+            out.push(StagedTransaction {
+                transaction: Transaction::default(),
                 jobs: Vec::new(),
             });
             bytes = 0;
         }
         if let Some(s) = out.last_mut() {
-            for (path, stamp) in g.guards {
-                if !s.txn.guards.iter().any(|x| x.path == path) {
-                    s.txn.guards.push(Guard { path, stamp });
+            for (path, stamp) in g.preconditions {
+                if !s.transaction.preconditions.iter().any(|x| x.key == path) {
+                    s.transaction.preconditions.push(Precondition {
+                        key: path,
+                        version: stamp,
+                    });
                 }
             }
             // Two jobs of one capped team share its key: one put is enough.
             for c in g.changes {
-                if !s.txn.then.iter().any(|x| x.key() == c.key()) {
-                    s.txn.then.push(c);
+                if !s.transaction.mutations.iter().any(|x| x.key() == c.key()) {
+                    s.transaction.mutations.push(c);
                 }
             }
             s.jobs.push(job.clone());
@@ -164,16 +172,16 @@
 }
 
 fn group(
-    view: &View,
+    view: &ClusterState,
     id: &JobId,
-    list: &[&Intent],
-    capped: Capped<'_>,
-    limits: Limits,
+    list: &[&JobChange],
+    capped: HasTeamLimit<'_>,
+    limits: TransactionLimits,
 ) -> Option<Group> {
     let job = view.jobs.get(id)?;
     let spec = &job.spec;
     let mut g = Group::default();
-    let mut changed: BTreeMap<u32, Block> = BTreeMap::new();
+    let mut changed: BTreeMap<u32, TaskBlock> = BTreeMap::new();
     // Keys that will change: blocks, or the keys that they were split into.
     let mut units: BTreeSet<(u32, u32)> = BTreeSet::new();
     let unit = |i: u32| match job.split.get((i / BLOCK) as usize) {
@@ -181,17 +189,20 @@
         _ => (i / BLOCK, 0),
     };
     let beside = if limits.packed { 3 } else { 4 };
-    let slot = |changed: &BTreeMap<u32, Block>, i: u32| -> Option<Slot> {
+    let slot = |changed: &BTreeMap<u32, TaskBlock>, i: u32| -> Option<TaskState> {
         match changed.get(&(i / BLOCK)) {
             Some(b) => b.0.get((i % BLOCK) as usize).cloned(),
             None => job.slot(i).cloned(),
         }
     };
-    let mut set = |changed: &mut BTreeMap<u32, Block>, i: u32, s: Slot| {
+    let mut set = |changed: &mut BTreeMap<u32, TaskBlock>, i: u32, s: TaskState| {
         let n = i / BLOCK;
         // A transaction holds so many changes; a group's rest follows in the next one.
         let u = unit(i);
-        if !units.contains(&u) && units.len() + beside > limits.ops && spec.kind != Shape::Gang {
+        if !units.contains(&u)
+            && units.len() + beside > limits.max_mutations
+            && spec.kind != JobKind::Gang
+        {
             return;
         }
         units.insert(u);
@@ -203,145 +214,154 @@
         }
     };
     let mut placed = false;
-    let mut hosts: BTreeMap<String, u64> = BTreeMap::new();
+    let mut machines: BTreeMap<String, u64> = BTreeMap::new();
     // What is said of an attempt holds only while its machine's part has the same owner: a
     // controller that was cut off may send "its lease ended" and have it delivered a minute later,
     // when a newer owner has long kept that lease alive.
-    let owner = |g: &mut Group, host: &str| {
-        let part = keys::part(part_of(host));
-        let stamp = view.stamp(&part);
-        g.guards.insert(part, stamp);
+    let owner = |g: &mut Group, machine: &str| {
+        let shard = keys::shard(shard_of(machine));
+        let stamp = view.version(&shard);
+        g.preconditions.insert(shard, stamp);
     };
     for intent in list {
         match intent {
-            Intent::Left {
+            JobChange::AttemptEnded {
                 index,
                 attempt,
                 done,
                 ..
             } => match slot(&changed, *index) {
-                Some(Slot::Placed(p)) if p.attempt == *attempt => {
-                    owner(&mut g, &p.host);
-                    let whole = *done && spec.kind == Shape::Gang;
+                Some(TaskState::Placed(p)) if p.attempt == *attempt => {
+                    owner(&mut g, &p.machine);
+                    let whole = *done && spec.kind == JobKind::Gang;
                     if whole {
                         // A gang completes together: if one task is done, every one is.
-                        for i in 0..spec.tasks {
-                            set(&mut changed, i, Slot::Done);
+                        for i in 0..spec.task_count {
+                            set(&mut changed, i, TaskState::Done);
                         }
                     } else if *done {
-                        set(&mut changed, *index, Slot::Done);
+                        set(&mut changed, *index, TaskState::Done);
                     } else {
-                        set(&mut changed, *index, Slot::Waiting(p.attempt));
+                        set(&mut changed, *index, TaskState::Waiting(p.attempt));
                     }
                 }
                 _ => {}
             },
-            Intent::Stop {
+            JobChange::Stop {
                 index,
                 attempt,
                 grace,
                 ..
             } => {
-                if let Some(Slot::Placed(p)) = slot(&changed, *index)
+                if let Some(TaskState::Placed(p)) = slot(&changed, *index)
                     && p.attempt == *attempt
                     && p.stop.is_none_or(|g| g > *grace)
                 {
-                    owner(&mut g, &p.host);
+                    owner(&mut g, &p.machine);
                     let stop = Some(*grace);
-                    set(&mut changed, *index, Slot::Placed(Placement { stop, ..p }));
+                    set(
+                        &mut changed,
+                        *index,
+                        TaskState::Placed(Placement { stop, ..p }),
+                    );
                 }
             }
-            Intent::Place { tasks, .. } => {
+            JobChange::Place { tasks, .. } => {
                 if job.cancelled() || !job.ready {
                     continue;
                 }
                 let ready = tasks
                     .iter()
-                    .all(|(i, _, _)| matches!(slot(&changed, *i), Some(Slot::Waiting(_))));
-                let whole = spec.kind != Shape::Gang
-                    || (tasks.len() == spec.tasks as usize
-                        && (limits.packed || (blocks_of(spec.tasks) + 3) as usize <= limits.ops));
+                    .all(|(i, _, _)| matches!(slot(&changed, *i), Some(TaskState::Waiting(_))));
+                let whole = spec.kind != JobKind::Gang
+                    || (tasks.len() == spec.task_count as usize
+                        && (limits.packed
+                            || (blocks_of(spec.task_count) + 3) as usize <= limits.max_mutations));
                 if !ready || !whole {
                     continue;
                 }
                 // Tasks of a gang find one another by their attempt: one for all.
                 let top = job.slots().map(|(_, s)| s.attempt()).max().unwrap_or(0);
-                for (i, host, session) in tasks {
+                for (i, machine, session) in tasks {
                     // A transaction holds so many conditions; the rest of a large array follows.
                     if !limits.packed
-                        && spec.kind != Shape::Gang
-                        && g.guards.len() + hosts.len() + 4 + 2 > limits.ops * 3
+                        && spec.kind != JobKind::Gang
+                        && g.preconditions.len() + machines.len() + 4 + 2 > limits.max_mutations * 3
                     {
                         break;
                     }
                     let last = match spec.kind {
-                        Shape::Gang => top,
+                        JobKind::Gang => top,
                         _ => slot(&changed, *i).map_or(0, |s| s.attempt()),
                     };
                     set(
                         &mut changed,
                         *i,
-                        Slot::Placed(Placement {
+                        TaskState::Placed(Placement {
                             attempt: last + 1,
-                            host: host.clone(),
+                            machine: machine.clone(),
                             session: *session,
                             stop: None,
                         }),
                     );
-                    owner(&mut g, host);
-                    let host = keys::host(host);
-                    let stamp = view.stamp(&host);
-                    hosts.insert(host, stamp);
+                    owner(&mut g, machine);
+                    let machine = keys::machine(machine);
+                    let stamp = view.version(&machine);
+                    machines.insert(machine, stamp);
                 }
                 placed = true;
             }
-            Intent::Settle { .. } => {}
+            JobChange::Finalize { .. } => {}
         }
     }
     let job_key = keys::job(id);
-    let job_stamp = view.stamp(&job_key);
-    g.guards.insert(job_key.clone(), job_stamp);
+    let job_stamp = view.version(&job_key);
+    g.preconditions.insert(job_key.clone(), job_stamp);
     let at = |n: usize| changed.get(&(n as u32)).unwrap_or(&job.blocks[n]);
-    let all = |f: &dyn Fn(&Slot) -> bool| (0..job.blocks.len()).all(|n| at(n).0.iter().all(f));
+    let all = |f: &dyn Fn(&TaskState) -> bool| (0..job.blocks.len()).all(|n| at(n).0.iter().all(f));
     let done = (0..job.blocks.len())
-        .map(|n| at(n).0.iter().filter(|s| **s == Slot::Done).count() as u32)
+        .map(|n| at(n).0.iter().filter(|s| **s == TaskState::Done).count() as u32)
         .sum();
-    let over = all(&|s| *s == Slot::Done);
-    let gone = job.cancelled() && all(&|s| !matches!(s, Slot::Placed(_)));
+    let over = all(&|s| *s == TaskState::Done);
+    let gone = job.cancelled() && all(&|s| !matches!(s, TaskState::Placed(_)));
     if over || gone {
         // A cancelled job stays cancelled, even when its tasks all completed meanwhile.
-        let fin = Final {
+        let finished_job = FinishedJob {
             cancelled: job.cancelled(),
             done,
-            at: if limits.layout { limits.wall } else { 0 },
+            finished_at: if limits.newer_layout {
+                limits.wall_clock
+            } else {
+                0
+            },
         };
-        g.changes.push(put(keys::fin(id), &fin));
-        g.changes.push(Change::Delete { remove: job_key });
+        g.changes.push(put(keys::finished_job(id), &finished_job));
+        g.changes.push(Mutation::Delete { key: job_key });
         g.bytes = 512;
         if limits.packed {
             // Neither condition can end again, so no block is guarded: what is done stays done, and
             // a cancelled job gets no placement that was not written before its cancellation. What
             // was written before that must be in the view, though.
-            if !over && spec.cancelled && view.rev < job_stamp {
+            if !over && spec.cancelled && view.revision < job_stamp {
                 return None;
             }
             // The rest is deleted later, in steps.
             for key in view.keys_of(id) {
-                if g.changes.len() < limits.ops {
-                    g.changes.push(Change::Delete { remove: key });
+                if g.changes.len() < limits.max_mutations {
+                    g.changes.push(Mutation::Delete { key });
                 }
             }
             return Some(g);
         }
         for n in 1..job.blocks.len() as u32 {
             let key = keys::block(id, n);
-            let stamp = view.stamp(&key);
+            let stamp = view.version(&key);
             // The end is decided on the blocks as they are in the view.
-            if g.guards.len() + 1 < limits.ops * 3 {
-                g.guards.insert(key.clone(), stamp);
+            if g.preconditions.len() + 1 < limits.max_mutations * 3 {
+                g.preconditions.insert(key.clone(), stamp);
             }
-            if stamp > 0 && g.changes.len() < limits.ops {
-                g.changes.push(Change::Delete { remove: key });
+            if stamp > 0 && g.changes.len() < limits.max_mutations {
+                g.changes.push(Mutation::Delete { key });
             }
         }
         return Some(g);
@@ -357,13 +377,13 @@
     }
     // Placements of a job whose zones matter are decided on each other: one at a time.
     if placed
-        && (spec.one_zone || spec.spread)
+        && (spec.single_zone || spec.zone_spread)
         && !g.changes.iter().any(|c| c.key() == job_key.as_str())
     {
         let first = changed.get(&0).unwrap_or(&job.blocks[0]);
         match (limits.packed, job.split.first()) {
             (true, Some(per)) if *per > 0 => {
-                let r = (spec.as_ref(), Stored::Split(*per));
+                let r = (spec.as_ref(), StoredBlock::Split(*per));
                 g.changes.push(put(job_key, &r));
                 g.bytes += 512;
             }
@@ -376,30 +396,31 @@
     }
     if placed && capped(&spec.team) {
         let key = keys::team(&spec.team);
-        g.guards.insert(key.clone(), view.stamp(&key));
+        g.preconditions.insert(key.clone(), view.version(&key));
         g.changes.push(put(key, &id.to_string()));
     }
     // The machines' own keys as well, so that none of them is being returned. That spares a wasted
     // start and is no rule: a machine whose key is gone has nothing on it. Where they are too many
     // for a transaction, the terms of their parts stand for them.
-    if !limits.packed || g.guards.len() + hosts.len() <= limits.guards() {
-        g.guards.append(&mut hosts);
+    if !limits.packed || g.preconditions.len() + machines.len() <= limits.preconditions() {
+        g.preconditions.append(&mut machines);
     }
-    if let (true, Some(n)) = (g.changes.len() > limits.ops, split) {
+    if let (true, Some(n)) = (g.changes.len() > limits.max_mutations, split) {
         return split_first(view, id, job, n, limits);
     }
-    let fits = g.changes.len() <= limits.ops && g.guards.len() <= limits.guards();
+    let fits =
+        g.changes.len() <= limits.max_mutations && g.preconditions.len() <= limits.preconditions();
     if !fits && limits.packed {
         tracing::debug!(job = %id, changes = g.changes.len(), "needs more than a transaction");
     }
     fits.then_some(g)
 }
 
-fn put<T: serde::Serialize>(key: String, v: &T) -> Change {
-    Change::Put {
-        put: key,
-        v: to_value(v),
-        permit: None,
+fn put<T: serde::Serialize>(key: String, v: &T) -> Mutation {
+    Mutation::Put {
+        key,
+        value: to_value(v),
+        lease: None,
     }
 }
 
@@ -416,19 +437,19 @@
     #[allow(clippy::too_many_arguments)]
     fn write(
         &mut self,
-        view: &View,
+        view: &ClusterState,
         id: &JobId,
         job: &Job,
-        spec: &Spec,
+        spec: &JobSpec,
         n: u32,
-        b: &Block,
-        limits: Limits,
+        b: &TaskBlock,
+        limits: TransactionLimits,
     ) -> bool {
         let key = match n {
             0 => keys::job(id),
             _ => keys::block(id, n),
         };
-        self.guards.insert(key.clone(), view.stamp(&key));
+        self.preconditions.insert(key.clone(), view.version(&key));
         if !limits.packed {
             self.bytes += 128 + b.0.iter().map(plain_bytes).sum::<usize>();
             self.changes.push(match n {
@@ -443,26 +464,29 @@
         let per = job.split.get(n as usize).copied().unwrap_or(0);
         if per > 0 {
             let old = job.blocks.get(n as usize);
-            let leaves: Vec<(u32, Stored)> = leaves(b, per)
+            let leaves: Vec<(u32, StoredBlock)> = leaves(b, per)
                 .filter(|(k, leaf)| old.and_then(|o| leaf_of(o, per, *k)) != Some(&leaf.0))
-                .map(|(k, leaf)| (k, Stored::Packed(leaf)))
+                .map(|(k, leaf)| (k, StoredBlock::Packed(leaf)))
                 .collect();
-            if leaves.iter().all(|(_, l)| json_size(l) <= limits.value) {
+            if leaves
+                .iter()
+                .all(|(_, l)| json_size(l) <= limits.max_value_bytes)
+            {
                 for (k, leaf) in leaves {
                     let key = keys::slots(id, n, per, k);
-                    self.guards.insert(key.clone(), view.stamp(&key));
+                    self.preconditions.insert(key.clone(), view.version(&key));
                     self.bytes += json_size(&leaf);
                     self.changes.push(put(key, &leaf));
                 }
                 return false;
             }
         } else {
-            let stored = Stored::Packed(b.clone());
+            let stored = StoredBlock::Packed(b.clone());
             let size = match n {
                 0 => json_size(&(spec, &stored)),
                 _ => json_size(&stored),
             };
-            if size <= limits.value {
+            if size <= limits.max_value_bytes {
                 self.bytes += size;
                 self.changes.push(match n {
                     0 => put(key, &(spec, &stored)),
@@ -473,7 +497,7 @@
         }
         let (per, list) = self.split(view, id, n, b, per, limits);
         self.changes.extend(list);
-        let marker = Stored::Split(per);
+        let marker = StoredBlock::Split(per);
         self.bytes += 512;
         self.changes.push(match n {
             0 => put(key, &(spec, marker)),
@@ -486,26 +510,26 @@
     /// hold this already are only guarded.
     fn split(
         &mut self,
-        view: &View,
+        view: &ClusterState,
         id: &JobId,
         n: u32,
-        b: &Block,
+        b: &TaskBlock,
         before: u32,
-        limits: Limits,
-    ) -> (u32, Vec<Change>) {
+        limits: TransactionLimits,
+    ) -> (u32, Vec<Mutation>) {
         let mut per = (if before == 0 { BLOCK } else { before }).div_ceil(2);
-        let most = limits.value * FILL / 100;
-        while per > 1 && leaves(b, per).any(|(_, l)| json_size(&Stored::Packed(l)) > most) {
+        let most = limits.max_value_bytes * FILL / 100;
+        while per > 1 && leaves(b, per).any(|(_, l)| json_size(&StoredBlock::Packed(l)) > most) {
             per = per.div_ceil(2);
         }
         let mut out = Vec::new();
         for (k, leaf) in leaves(b, per) {
             let key = keys::slots(id, n, per, k);
-            let stamp = view.stamp(&key);
-            let untouched = stamp == 0 && leaf.0.iter().all(|s| *s == Slot::Waiting(0));
-            self.guards.insert(key.clone(), stamp);
+            let stamp = view.version(&key);
+            let untouched = stamp == 0 && leaf.0.iter().all(|s| *s == TaskState::Waiting(0));
+            self.preconditions.insert(key.clone(), stamp);
             if !untouched && view.leaf(id, n, per, k) != Some(&leaf) {
-                let leaf = Stored::Packed(leaf);
+                let leaf = StoredBlock::Packed(leaf);
                 self.bytes += json_size(&leaf);
                 out.push(put(key, &leaf));
             }
@@ -514,40 +538,47 @@
     }
 }
 
-fn plain_bytes(s: &Slot) -> usize {
+fn plain_bytes(s: &TaskState) -> usize {
     match s {
-        Slot::Placed(p) => 32 + p.host.len(),
+        TaskState::Placed(p) => 32 + p.machine.len(),
         _ => 14,
     }
 }
 
-fn leaf_of(b: &Block, per: u32, k: u32) -> Option<&[Slot]> {
+fn leaf_of(b: &TaskBlock, per: u32, k: u32) -> Option<&[TaskState]> {
     b.0.chunks(per.max(1) as usize).nth(k as usize)
 }
 
-fn leaves(b: &Block, per: u32) -> impl Iterator<Item = (u32, Block)> + '_ {
+fn leaves(b: &TaskBlock, per: u32) -> impl Iterator<Item = (u32, TaskBlock)> + '_ {
     b.0.chunks(per.max(1) as usize)
         .enumerate()
-        .map(|(k, s)| (k as u32, Block(s.to_vec())))
+        .map(|(k, s)| (k as u32, TaskBlock(s.to_vec())))
 }
 
 /// Splits a block as it is: what is to change follows once it is written in small keys. Where one
 /// transaction cannot hold all of them, some are written first; they mean nothing until the block
 /// names them, and the transaction that makes it do so guards the block and every one of them.
-fn split_first(view: &View, id: &JobId, job: &Job, n: u32, limits: Limits) -> Option<Group> {
+fn split_first(
+    view: &ClusterState,
+    id: &JobId,
+    job: &Job,
+    n: u32,
+    limits: TransactionLimits,
+) -> Option<Group> {
     let b = job.blocks.get(n as usize)?;
     let per = job.split.get(n as usize).copied().unwrap_or(0);
     let mut g = Group::default();
     let job_key = keys::job(id);
-    g.guards.insert(job_key.clone(), view.stamp(&job_key));
+    g.preconditions
+        .insert(job_key.clone(), view.version(&job_key));
     let key = match n {
         0 => job_key,
         _ => keys::block(id, n),
     };
     let (per, list) = g.split(view, id, n, b, per, limits);
-    if list.len() < limits.ops {
+    if list.len() < limits.max_mutations {
         g.changes = list;
-        let marker = Stored::Split(per);
+        let marker = StoredBlock::Split(per);
         g.changes.push(match n {
             0 => put(key.clone(), &(job.spec.as_ref(), marker)),
             _ => put(key.clone(), &marker),
@@ -555,53 +586,58 @@
     } else {
         let names: HashSet<String> = list
             .iter()
-            .take(limits.ops)
+            .take(limits.max_mutations)
             .map(|c| c.key().to_string())
             .collect();
-        g.guards.retain(|k, _| names.contains(k));
-        g.changes = list.into_iter().take(limits.ops).collect();
+        g.preconditions.retain(|k, _| names.contains(k));
+        g.changes = list.into_iter().take(limits.max_mutations).collect();
     }
-    g.guards.insert(key.clone(), view.stamp(&key));
-    (g.guards.len() <= limits.guards()).then_some(g)
+    g.preconditions.insert(key.clone(), view.version(&key));
+    (g.preconditions.len() <= limits.preconditions()).then_some(g)
 }
 
 /// The transaction that withdraws a job, or a step towards it where the job's record has to be split
 /// first.
-pub fn withdraw(view: &View, id: &JobId, limits: Limits) -> Option<Txn> {
+pub fn cancel(view: &ClusterState, id: &JobId, limits: TransactionLimits) -> Option<Transaction> {
     let job = view.jobs.get(id)?;
     let mut spec = job.spec.as_ref().clone();
     spec.cancelled = true;
     let mut g = Group::default();
     let key = keys::job(id);
-    g.guards.insert(key.clone(), view.stamp(&key));
+    g.preconditions.insert(key.clone(), view.version(&key));
     match job.split.first() {
-        Some(per) if *per > 0 => g.changes.push(put(key, &(spec, Stored::Split(*per)))),
+        Some(per) if *per > 0 => g.changes.push(put(key, &(spec, StoredBlock::Split(*per)))),
         _ => {
             let first = job.blocks.first()?;
-            if g.write(view, id, job, &spec, 0, first, limits) && g.changes.len() > limits.ops {
+            if g.write(view, id, job, &spec, 0, first, limits)
+                && g.changes.len() > limits.max_mutations
+            {
                 g = split_first(view, id, job, 0, limits)?;
             }
         }
     }
-    Some(Txn {
-        guards: g
-            .guards
+    Some(Transaction {
+        preconditions: g
+            .preconditions
             .into_iter()
-            .map(|(path, stamp)| Guard { path, stamp })
+            .map(|(path, stamp)| Precondition {
+                key: path,
+                version: stamp,
+            })
             .collect(),
-        then: g.changes,
+        mutations: g.changes,
     })
 }
 
 /// A job's record as it is written when the job is accepted.
-fn accepted(spec: Spec, limits: Limits) -> AnyRecord {
-    let none = Block::default();
-    AnyRecord(
+fn accepted(spec: JobSpec, limits: TransactionLimits) -> StoredJobRecord {
+    let none = TaskBlock::default();
+    StoredJobRecord(
         spec,
         if limits.packed {
-            Stored::Packed(none)
+            StoredBlock::Packed(none)
         } else {
-            Stored::Plain(none)
+            StoredBlock::Plain(none)
         },
     )
 }
@@ -609,21 +645,27 @@
 /// The next writes that accept a job: its record, and before it keys of their own for jobs that it
 /// needs and that do not fit in there. These come in steps if need be, and mean nothing without the
 /// record, which guards them. `None`: it fits into no value.
-pub fn acceptance(view: &View, id: &str, mut spec: Spec, limits: Limits) -> Option<Vec<Txn>> {
-    let fits = |spec: &Spec| json_size(&accepted(spec.clone(), limits)) <= limits.value;
-    let mut extra: Vec<(String, Ids)> = Vec::new();
+pub fn accept_submission(
+    view: &ClusterState,
+    id: &str,
+    mut spec: JobSpec,
+    limits: TransactionLimits,
+) -> Option<Vec<Transaction>> {
+    let fits =
+        |spec: &JobSpec| json_size(&accepted(spec.clone(), limits)) <= limits.max_value_bytes;
+    let mut extra: Vec<(String, JobIdList)> = Vec::new();
     if !fits(&spec) {
-        let all = std::mem::take(&mut spec.needs).jobs.0;
+        let all = std::mem::take(&mut spec.dependencies).jobs.0;
         // Room for the count of keys.
-        spec.needs.keys = u32::MAX;
+        spec.dependencies.keys = u32::MAX;
         if !fits(&spec) {
             return None;
         }
         let mut bytes = usize::MAX;
         for j in all {
             // Quotes around it all, a space between two.
-            if bytes.saturating_add(j.len() + 3) > limits.value {
-                extra.push((keys::needs(id, extra.len() as u32), Ids::default()));
+            if bytes.saturating_add(j.len() + 3) > limits.max_value_bytes {
+                extra.push((keys::needs(id, extra.len() as u32), JobIdList::default()));
                 bytes = 0;
             }
             bytes += j.len() + 1;
@@ -631,10 +673,10 @@
                 list.0.push(j);
             }
         }
-        spec.needs.keys = extra.len() as u32;
+        spec.dependencies.keys = extra.len() as u32;
     }
     // An earlier try may have written others: some jobs were not done then.
-    let missing: Vec<&(String, Ids)> = extra
+    let missing: Vec<&(String, JobIdList)> = extra
         .iter()
         .enumerate()
         .filter(|(k, (_, list))| view.need_list(id, *k as u32) != Some(&list.0))
@@ -643,21 +685,27 @@
     if !missing.is_empty() {
         return Some(
             missing
-                .chunks(limits.ops)
-                .map(|chunk| Txn {
-                    guards: chunk.iter().map(|(k, _)| view.guard(k.as_str())).collect(),
-                    then: chunk.iter().map(|(k, l)| put(k.clone(), l)).collect(),
+                .chunks(limits.max_mutations)
+                .map(|chunk| Transaction {
+                    preconditions: chunk
+                        .iter()
+                        .map(|(k, _)| view.precondition(k.as_str()))
+                        .collect(),
+                    mutations: chunk.iter().map(|(k, l)| put(k.clone(), l)).collect(),
                 })
                 .collect(),
         );
     }
-    let none = |path: String| Guard { path, stamp: 0 };
-    let mut guards = vec![none(keys::job(id)), none(keys::fin(id))];
-    guards.extend(extra.iter().map(|(k, _)| view.guard(k.as_str())));
-    (guards.len() <= limits.guards()).then(|| {
-        vec![Txn {
-            guards,
-            then: vec![put(keys::job(id), &accepted(spec, limits))],
+    let none = |path: String| Precondition {
+        key: path,
+        version: 0,
+    };
+    let mut preconditions = vec![none(keys::job(id)), none(keys::finished_job(id))];
+    preconditions.extend(extra.iter().map(|(k, _)| view.precondition(k.as_str())));
+    (preconditions.len() <= limits.preconditions()).then(|| {
+        vec![Transaction {
+            preconditions,
+            mutations: vec![put(keys::job(id), &accepted(spec, limits))],
         }]
     })
 }
@@ -667,18 +715,18 @@
 }
 
 /// Deletes keys of slots and needs whose job is over.
-pub fn sweep(view: &View, limits: Limits) -> Option<Txn> {
-    let mut t = Txn::default();
+pub fn collect_garbage(view: &ClusterState, limits: TransactionLimits) -> Option<Transaction> {
+    let mut t = Transaction::default();
     let mut seen = BTreeSet::new();
-    for (id, key) in view.orphans().into_iter().take(limits.ops) {
-        t.guards.push(view.guard(key.as_str()));
+    for (id, key) in view.orphaned_keys().into_iter().take(limits.max_mutations) {
+        t.preconditions.push(view.precondition(key.as_str()));
         if seen.insert(id.clone()) {
-            t.guards.push(Guard {
-                path: keys::job(&id),
-                stamp: 0,
+            t.preconditions.push(Precondition {
+                key: keys::job(&id),
+                version: 0,
             });
         }
-        t.then.push(Change::Delete { remove: key });
+        t.mutations.push(Mutation::Delete { key });
     }
-    (!t.then.is_empty()).then_some(t)
+    (!t.mutations.is_empty()).then_some(t)
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -4,7 +4,7 @@
 pub mod claim;
 mod keep;
 
-pub use keep::{Membership, UP_MOST};
+pub use keep::{Membership, READY_MOST};
 
 use crate::time::{Micros, SECOND};
 use fnv::FnvHasher;
@@ -13,7 +13,7 @@
 use std::hash::Hasher;
 
 /// Number of parts. Fixed: a machine's part, and with it its token, must never change.
-pub const PARTS: u32 = 12;
+pub const SHARD_COUNT: u32 = 12;
 
 /// The layout that a controller reads and writes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
     pub since: u64,
     /// Its workers cannot reach it: it wants no parts.
     #[serde(rename = "h", default)]
-    pub shunned: bool,
+    pub unreachable_by_workers: bool,
     /// The layout that it reads and writes; versions before the second say nothing.
     #[serde(rename = "v", default)]
     pub version: u32,
@@ -71,7 +71,7 @@
         Member {
             lease,
             since: now,
-            shunned: false,
+            unreachable_by_workers: false,
             version,
             ends,
         }
@@ -118,7 +118,7 @@
 
 /// A part: who drives its machines, and with which token.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Part {
+pub struct Shard {
     /// Owner.
     #[serde(rename = "n")]
     pub owner: String,
@@ -153,20 +153,20 @@
 }
 
 /// The part that a machine belongs to.
-pub fn part_of(host: &str) -> u32 {
-    (hash(host) % u64::from(PARTS)) as u32
+pub fn shard_of(machine: &str) -> u32 {
+    (hash(machine) % u64::from(SHARD_COUNT)) as u32
 }
 
 /// Who should own each part at this time of day: sticky, then the member with the fewest among those
 /// who do not end again and again, ties by rendezvous hash.
 pub fn assign(
-    parts: &BTreeMap<u32, Part>,
+    shards: &BTreeMap<u32, Shard>,
     members: &BTreeMap<String, Member>,
     now: Micros,
 ) -> BTreeMap<u32, String> {
     let willing: Vec<&String> = members
         .iter()
-        .filter(|(_, m)| !m.shunned)
+        .filter(|(_, m)| !m.unreachable_by_workers)
         .map(|(n, _)| n)
         .collect();
     let candidates: Vec<&String> = if willing.is_empty() {
@@ -179,9 +179,9 @@
         return out;
     }
     let mut load: BTreeMap<&String, u32> = candidates.iter().map(|n| (*n, 0)).collect();
-    for (n, p) in parts {
+    for (n, p) in shards {
         let alive = members.get(&p.owner).is_some_and(|m| m.lease == p.lease);
-        if *n < PARTS
+        if *n < SHARD_COUNT
             && alive
             && let Some(l) = load.get_mut(&p.owner)
         {
@@ -189,9 +189,9 @@
             out.insert(*n, p.owner.clone());
         }
     }
-    let weight = |part: u32, node: &str| hash(&format!("{part}@{node}"));
+    let weight = |shard: u32, node: &str| hash(&format!("{shard}@{node}"));
     let takers = steady(members.iter().filter(|(n, _)| candidates.contains(n)), now);
-    for n in 0..PARTS {
+    for n in 0..SHARD_COUNT {
         if out.contains_key(&n) {
             continue;
         }
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,9 +1,9 @@
 //! Teams: what each uses, is owed, and may still start. Pure: one plan's account of it.
 
-use crate::jobs::model::{JobId, Room, Spec};
+use crate::jobs::model::{JobId, JobSpec, Resources};
 use crate::settings::Team;
-use crate::store::cluster_state::View;
-use crate::wire::user::{Rank, Shape};
+use crate::store::cluster_state::ClusterState;
+use crate::wire::user::{JobKind, Priority};
 use foldhash::HashMap;
 
 /// What a team's tasks take, and would take if all that wait ran too.
@@ -21,9 +21,9 @@
 #[derive(Clone, Debug, Default)]
 struct Claims {
     /// Waiting tasks of high rank: services as a rule.
-    first: Room,
+    first: Resources,
     /// Starved classes, up to their floor.
-    floor: Room,
+    floor: Resources,
     gang: Option<GangClaim>,
     /// Gangs have their share: no further one is counted on.
     gangs_full: bool,
@@ -33,37 +33,37 @@
 #[derive(Clone, Debug)]
 struct GangClaim {
     id: JobId,
-    need: Room,
+    need: Resources,
     /// It waits so long that other gangs wait too.
     patient: bool,
     /// What will have ended before it starts.
-    drains: Room,
+    drains: Resources,
 }
 
 /// What a task is to its team's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn<'a> {
+pub enum QuotaVerdict<'a> {
     /// High rank: no claim stands before it.
-    First,
+    WithinGuarantee,
     /// Within the floor of a starved class.
-    Floored,
+    MinimumShare,
     /// A gang.
     Gang(&'a JobId),
     /// Any other.
-    Later,
+    Ordinary,
 }
 
 /// The account of all teams while a plan is made: it begins with what is placed, and what the plan
 /// adds counts at once.
-pub struct Account<'a> {
+pub struct QuotaLedger<'a> {
     teams: &'a [Team],
     by: HashMap<&'a str, Usage>,
     claims: HashMap<&'a str, Claims>,
 }
 
-impl<'a> Account<'a> {
+impl<'a> QuotaLedger<'a> {
     /// What is placed, and what waits and may start.
-    pub fn open(v: &'a View, teams: &'a [Team]) -> Account<'a> {
+    pub fn open(v: &'a ClusterState, teams: &'a [Team]) -> QuotaLedger<'a> {
         let mut by: HashMap<&str, Usage> = HashMap::default();
         for (team, r) in &v.index().teams {
             let u = by.entry(team).or_default();
@@ -75,16 +75,16 @@
         let asked = teams.iter().any(bound).then(|| v.waiting());
         // What waits for other jobs holds no part of its team's guarantee or limit.
         for (_, j) in asked.into_iter().flatten().filter(|(_, j)| j.ready) {
-            let r = &j.spec.room;
+            let r = &j.spec.resources;
             let u = by.entry(&j.spec.team).or_default();
             u.wanted_cpus += r.cpus * i64::from(j.waiting);
             u.wanted_gpus += r.gpus * i64::from(j.waiting);
-            if j.spec.rank <= Rank::High && j.spec.kind != Shape::Gang {
+            if j.spec.priority <= Priority::High && j.spec.kind != JobKind::Gang {
                 let c = claims.entry(&j.spec.team).or_default();
-                c.first.give(&r.of_tasks(i64::from(j.queued())));
+                c.first.add(&r.for_tasks(i64::from(j.queued())));
             }
         }
-        Account { teams, by, claims }
+        QuotaLedger { teams, by, claims }
     }
 
     fn team(&self, name: &str) -> Option<&'a Team> {
@@ -115,16 +115,22 @@
     }
 
     /// Keeps so many CPUs of a team's limit for its starved classes.
-    pub fn claim_floor(&mut self, team: &'a str, cpus: i64) {
+    pub fn reserve_minimum_share(&mut self, team: &'a str, cpus: i64) {
         self.claims.entry(team).or_default().floor.cpus += cpus;
     }
 
     /// Keeps what a gang needs of its team's limit; also from other gangs if it has waited long. For this
     /// gang what `drains` does not count as used.
-    pub fn claim_gang(&mut self, id: &JobId, s: &'a Spec, patient: bool, drains: Room) {
+    pub fn reserve_for_gang(
+        &mut self,
+        id: &JobId,
+        s: &'a JobSpec,
+        patient: bool,
+        drains: Resources,
+    ) {
         self.claims.entry(&s.team).or_default().gang = Some(GangClaim {
             id: id.clone(),
-            need: s.room.of_tasks(i64::from(s.tasks)),
+            need: s.resources.for_tasks(i64::from(s.task_count)),
             patient,
             drains,
         });
@@ -136,29 +142,29 @@
     }
 
     /// How many more tasks of a job its team's limit lets start.
-    pub fn headroom(&self, s: &Spec, turn: Turn<'_>) -> i64 {
+    pub fn headroom(&self, s: &JobSpec, turn: QuotaVerdict<'_>) -> i64 {
         let u = self.usage(&s.team);
-        let mut used = Room {
+        let mut used = Resources {
             cpus: u.cpus,
             gpus: u.gpus,
             memory: 0,
         };
         if let Some(c) = self.claims.get(&*s.team) {
-            if c.gangs_full && matches!(turn, Turn::Gang(_)) {
+            if c.gangs_full && matches!(turn, QuotaVerdict::Gang(_)) {
                 return 0;
             }
-            if turn != Turn::First {
-                used.give(&c.first);
+            if turn != QuotaVerdict::WithinGuarantee {
+                used.add(&c.first);
             }
-            if turn == Turn::Later {
-                used.give(&c.floor);
+            if turn == QuotaVerdict::Ordinary {
+                used.add(&c.floor);
             }
             if let Some(g) = &c.gang {
                 match turn {
-                    Turn::Gang(id) if *id == g.id => used.take(&g.drains),
-                    Turn::Gang(_) if !g.patient => {}
-                    Turn::Gang(_) | Turn::Later => used.give(&g.need),
-                    Turn::First | Turn::Floored => {}
+                    QuotaVerdict::Gang(id) if *id == g.id => used.subtract(&g.drains),
+                    QuotaVerdict::Gang(_) if !g.patient => {}
+                    QuotaVerdict::Gang(_) | QuotaVerdict::Ordinary => used.add(&g.need),
+                    QuotaVerdict::WithinGuarantee | QuotaVerdict::MinimumShare => {}
                 }
             }
         }
@@ -166,36 +172,36 @@
     }
 
     /// So many tasks of a job count as started, and no longer as claimed.
-    pub fn start(&mut self, s: &'a Spec, tasks: i64, turn: Turn<'_>) {
-        let room = s.room.of_tasks(tasks);
+    pub fn start(&mut self, s: &'a JobSpec, tasks: i64, turn: QuotaVerdict<'_>) {
+        let room = s.resources.for_tasks(tasks);
         let u = self.by.entry(&s.team).or_default();
         u.cpus += room.cpus;
         u.gpus += room.gpus;
         let Some(c) = self.claims.get_mut(&*s.team) else {
             return;
         };
-        let met = |claim: &mut Room| {
+        let met = |claim: &mut Resources| {
             claim.cpus = (claim.cpus - room.cpus).max(0);
             claim.gpus = (claim.gpus - room.gpus).max(0);
         };
         match turn {
-            Turn::First => met(&mut c.first),
-            Turn::Floored => met(&mut c.floor),
-            Turn::Gang(id) if tasks > 0 && c.gang.as_ref().is_some_and(|g| g.id == *id) => {
+            QuotaVerdict::WithinGuarantee => met(&mut c.first),
+            QuotaVerdict::MinimumShare => met(&mut c.floor),
+            QuotaVerdict::Gang(id) if tasks > 0 && c.gang.as_ref().is_some_and(|g| g.id == *id) => {
                 c.gang = None;
             }
-            Turn::Gang(_) | Turn::Later => {}
+            QuotaVerdict::Gang(_) | QuotaVerdict::Ordinary => {}
         }
     }
 }
 
 /// How many tasks of a job its team may run at once beside what it holds elsewhere; `None` if nothing
 /// limits them.
-pub fn at_once(teams: &[Team], s: &Spec, elsewhere: &Room) -> Option<i64> {
+pub fn at_once(teams: &[Team], s: &JobSpec, elsewhere: &Resources) -> Option<i64> {
     let t = teams.iter().find(|t| t.name == s.team)?;
     let amounts = [
-        (t.cpus_max, elsewhere.cpus, s.room.cpus),
-        (t.gpus_max, elsewhere.gpus, s.room.gpus),
+        (t.cpus_max, elsewhere.cpus, s.resources.cpus),
+        (t.gpus_max, elsewhere.gpus, s.resources.gpus),
     ];
     let limited = amounts
         .iter()
--- a/src/reconciliation/decide.rs
+++ b/src/reconciliation/decide.rs
@@ -1,11 +1,11 @@
 //! What one pass writes: which intents, in which order, as far as the budget of writes goes. Pure.
 
-use crate::ids::HostId;
-use crate::jobs::commit::{Capped, Intent, Limits, Staged, stage};
-use crate::jobs::model::{JobId, Room, Slot};
-use crate::store::cluster_state::{Job, View};
+use crate::ids::MachineId;
+use crate::jobs::commit::{HasTeamLimit, JobChange, StagedTransaction, TransactionLimits, stage};
+use crate::jobs::model::{JobId, Resources, TaskState};
+use crate::store::cluster_state::{ClusterState, Job};
 use crate::time::{Micros, SECOND};
-use crate::wire::user::Shape;
+use crate::wire::user::JobKind;
 use foldhash::{HashMap, HashMapExt, HashSet};
 use std::collections::BTreeMap;
 
@@ -26,25 +26,25 @@
 /// Shares of the burst of writes that stay for what comes before: placements of arrays leave room
 /// for services and acceptances, bookkeeping also for arrays. Ends of jobs leave none: with 15 % kept
 /// back they starved while changes were short, and the next steps of pipelines with them.
-const KEEP_ARRAYS: f64 = 0.25;
-/// See `KEEP_ARRAYS`.
-pub const KEEP_BOOKS: f64 = 0.5;
+const ARRAY_RESERVE: f64 = 0.25;
+/// See `ARRAY_RESERVE`.
+pub const BOOKKEEPING_RESERVE: f64 = 0.5;
 
 /// How long it can wait until what is known of a job's attempts is written.
-fn patience(j: &Job, lefts: &[Intent]) -> Micros {
-    let done = |i: &Intent| matches!(i, Intent::Left { done: true, .. });
+fn patience(j: &Job, lefts: &[JobChange]) -> Micros {
+    let done = |i: &JobChange| matches!(i, JobChange::AttemptEnded { done: true, .. });
     let all = lefts.len() as u32 >= j.placed;
     if j.cancelled() {
         // Its user has the answer, and the room is known to be free.
         return if all { SOON } else { LAZY };
     }
-    if j.spec.kind != Shape::Array {
+    if j.spec.kind != JobKind::Array {
         return 0;
     }
     // Room that was made for someone: others see it only once it is written.
-    let asked = |i: &Intent| match i {
-        Intent::Left { index, .. } => {
-            matches!(j.slot(*index), Some(Slot::Placed(p)) if p.stop.is_some())
+    let asked = |i: &JobChange| match i {
+        JobChange::AttemptEnded { index, .. } => {
+            matches!(j.slot(*index), Some(TaskState::Placed(p)) if p.stop.is_some())
         }
         _ => false,
     };
@@ -59,19 +59,19 @@
 }
 
 /// What a pass wants of a plan.
-pub struct Wish<'a> {
+pub struct PlanRequest<'a> {
     /// The room of tasks that left.
-    pub freed: &'a HashMap<HostId, Room>,
+    pub freed: &'a HashMap<MachineId, Resources>,
     /// Whether arrays take part.
     pub arrays: bool,
     /// Whether gangs and steps of pipelines do.
-    pub steps: bool,
+    pub deadline_steps: bool,
     /// For how many jobs something can be written; `None` for any number.
-    pub writes: Option<usize>,
+    pub max_jobs: Option<usize>,
 }
 
 /// What makes the plan of a pass.
-pub type Planner<'a> = &'a dyn Fn(&Wish<'_>) -> Vec<Intent>;
+pub type Planner<'a> = &'a dyn Fn(&PlanRequest<'_>) -> Vec<JobChange>;
 
 /// A plan is made for so many jobs more than there are writes, times the writes: some of what it finds
 /// cannot be staged.
@@ -79,19 +79,19 @@
 const PLAN_MORE: usize = 8;
 
 /// What a pass decides on.
-pub struct Pass<'a> {
+pub struct ReconcileInput<'a> {
     /// The view.
-    pub view: &'a View,
+    pub view: &'a ClusterState,
     /// What machines' reports prove about attempts, and the blocks do not say yet.
-    pub lefts: &'a BTreeMap<HostId, Vec<Intent>>,
+    pub ended_attempts: &'a BTreeMap<MachineId, Vec<JobChange>>,
     /// Jobs with a transaction under way.
-    pub busy: &'a HashSet<JobId>,
+    pub jobs_in_flight: &'a HashSet<JobId>,
     /// Changes that could be written at once, and the most that this ever is.
-    pub budget: (f64, f64),
+    pub write_budget: (f64, f64),
     /// Limits of a transaction.
-    pub limits: Limits,
+    pub limits: TransactionLimits,
     /// Teams with limits.
-    pub capped: Capped<'a>,
+    pub has_team_limit: HasTeamLimit<'a>,
     /// The plan.
     pub plan: Planner<'a>,
     /// Now.
@@ -100,23 +100,26 @@
 
 /// What is remembered from pass to pass.
 #[derive(Default)]
-pub struct Rounds {
+pub struct WriteSchedule {
     left_since: HashMap<JobId, Micros>,
     arrays_at: Micros,
     steps_at: Micros,
 }
 
-impl Rounds {
+impl WriteSchedule {
     /// The transactions of this pass, most worth first, as far as the budget of writes goes. What is
     /// left out is found again in the next pass.
-    pub fn decide(&mut self, p: &Pass<'_>) -> Vec<Staged> {
+    pub fn decide(&mut self, p: &ReconcileInput<'_>) -> Vec<StagedTransaction> {
         let (view, now) = (p.view, p.now);
-        let mut freed: HashMap<HostId, Room> = HashMap::new();
-        let mut by_job: BTreeMap<JobId, Vec<Intent>> = BTreeMap::new();
-        for (host, list) in p.lefts {
+        let mut freed: HashMap<MachineId, Resources> = HashMap::new();
+        let mut by_job: BTreeMap<JobId, Vec<JobChange>> = BTreeMap::new();
+        for (machine, list) in p.ended_attempts {
             for i in list {
                 if let Some(j) = view.jobs.get(i.job()) {
-                    freed.entry(host.clone()).or_default().give(&j.spec.room);
+                    freed
+                        .entry(machine.clone())
+                        .or_default()
+                        .add(&j.spec.resources);
                     by_job.entry(i.job().clone()).or_default().push(i.clone());
                 }
             }
@@ -136,21 +139,21 @@
             }
         }
         // What is over, and what was withdrawn before it was placed.
-        ends.extend(view.index().over.iter().map(|id| (0, id)));
-        ends.sort_by_key(|(at, id)| (!view.waited_for(id), *at, *id));
-        let (mut level, burst) = p.budget;
+        ends.extend(view.index().finished.iter().map(|id| (0, id)));
+        ends.sort_by_key(|(at, id)| (!view.has_dependents(id), *at, *id));
+        let (mut level, burst) = p.write_budget;
         let waited = now.saturating_sub(self.arrays_at);
         let late = waited >= ARRAY_LATEST;
         if level < 0.0 && !late {
             // Nothing can be written, so nothing is worked out.
             return Vec::new();
         }
-        let arrays = waited >= ARRAY_ROUND && (late || level > burst * KEEP_ARRAYS);
+        let arrays = waited >= ARRAY_ROUND && (late || level > burst * ARRAY_RESERVE);
         // A few writes place hundreds of tasks: never starved by a flood of services.
         let keep_arrays = if late {
-            KEEP_ARRAYS.min(level / burst - ARRAY_SHARE)
+            ARRAY_RESERVE.min(level / burst - ARRAY_SHARE)
         } else {
-            KEEP_ARRAYS
+            ARRAY_RESERVE
         };
         if arrays {
             self.arrays_at = now;
@@ -160,22 +163,22 @@
         if steps {
             self.steps_at = now;
         }
-        let mut later: Vec<Intent> = Vec::new();
+        let mut later: Vec<JobChange> = Vec::new();
         // In the plan's order, each job's intents together.
-        let mut first: Vec<(JobId, Vec<Intent>)> = Vec::new();
+        let mut first: Vec<(JobId, Vec<JobChange>)> = Vec::new();
         let mut places: HashMap<JobId, usize> = HashMap::new();
-        let wish = Wish {
+        let wish = PlanRequest {
             freed: &freed,
             arrays,
-            steps,
+            deadline_steps: steps,
             // Arrays that are late have a share of their own, whatever stands before them.
-            writes: (!late).then(|| level as usize * PLAN_TIMES + PLAN_MORE),
+            max_jobs: (!late).then(|| level as usize * PLAN_TIMES + PLAN_MORE),
         };
         for i in (p.plan)(&wish) {
             // A step of a pipeline that has its deadline before it goes with services and gangs.
-            let array = matches!(&i, Intent::Place { job, .. }
+            let array = matches!(&i, JobChange::Place { job, .. }
             if view.jobs.get(job).is_some_and(|j| {
-                j.spec.kind == Shape::Array && !j.step()
+                j.spec.kind == JobKind::Array && !j.is_deadline_step()
             }));
             if array {
                 later.push(i);
@@ -190,28 +193,28 @@
             });
             first[k].1.push(i);
         }
-        let mut busy = p.busy.clone();
+        let mut busy = p.jobs_in_flight.clone();
         let mut out = Vec::new();
-        let mut add = |intents: &[Intent], keep: f64| {
+        let mut add = |intents: &[JobChange], keep: f64| {
             // Users who wait for an answer come before all of it. What cannot be written now is not
             // even worked out.
             if intents.is_empty() || level < burst * keep {
                 return;
             }
-            for s in stage(view, intents, &busy, p.capped, p.limits) {
-                let n = s.txn.then.len() as f64;
+            for s in stage(view, intents, &busy, p.has_team_limit, p.limits) {
+                let n = s.transaction.mutations.len() as f64;
                 if level < burst * keep {
                     return;
                 }
                 level -= n;
                 if tracing::enabled!(tracing::Level::DEBUG) {
-                    let of = |f: &dyn Fn(&Intent) -> usize| intents.iter().map(f).sum::<usize>();
+                    let of = |f: &dyn Fn(&JobChange) -> usize| intents.iter().map(f).sum::<usize>();
                     let places = of(&|i| match i {
-                        Intent::Place { tasks, .. } => tasks.len(),
+                        JobChange::Place { tasks, .. } => tasks.len(),
                         _ => 0,
                     });
-                    let lefts = of(&|i| usize::from(matches!(i, Intent::Left { .. })));
-                    let stops = of(&|i| usize::from(matches!(i, Intent::Stop { .. })));
+                    let lefts = of(&|i| usize::from(matches!(i, JobChange::AttemptEnded { .. })));
+                    let stops = of(&|i| usize::from(matches!(i, JobChange::Stop { .. })));
                     let jobs = s.jobs.len();
                     let first = s.jobs.first();
                     let class = first.and_then(|j| view.jobs.get(j)).map(|j| &*j.spec.class);
@@ -228,11 +231,11 @@
             add(list, 0.0);
         }
         for chunk in ends.chunks(ENDS) {
-            let list: Vec<Intent> = chunk
+            let list: Vec<JobChange> = chunk
                 .iter()
                 .flat_map(|(_, id)| {
                     let known = by_job.get(*id).into_iter().flatten().cloned();
-                    known.chain([Intent::Settle { job: (*id).clone() }])
+                    known.chain([JobChange::Finalize { job: (*id).clone() }])
                 })
                 .collect();
             add(&list, 0.0);
@@ -245,9 +248,9 @@
         books.sort();
         for (at, id) in books {
             let keep = if now.saturating_sub(at) > LAZY_MAX {
-                KEEP_ARRAYS / 2.0
+                ARRAY_RESERVE / 2.0
             } else {
-                KEEP_BOOKS
+                BOOKKEEPING_RESERVE
             };
             add(&by_job[id], keep);
         }
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -2,19 +2,19 @@
 
 pub mod decide;
 
-use crate::autoscaler::model::{Host, HostState};
-use crate::controller::Node;
-use crate::ids::HostId;
-use crate::jobs::commit::{Intent, Staged, sweep};
+use crate::autoscaler::model::{MachineRecord, MachineState};
+use crate::controller::Controller;
+use crate::ids::MachineId;
+use crate::jobs::commit::{JobChange, StagedTransaction, collect_garbage};
 use crate::jobs::model::JobId;
-use crate::membership::{PARTS, part_of};
-use crate::scheduling::{self, Open, Scene, Writes};
-use crate::store::client::Outcome;
-use crate::store::cluster_state::{Job, View};
+use crate::membership::{SHARD_COUNT, shard_of};
+use crate::scheduling::{self, SchedulableMachine, SchedulingInput, Writes};
+use crate::store::client::TransactionOutcome;
+use crate::store::cluster_state::{ClusterState, Job};
 use crate::time::{MILLI, Micros, SECOND, wall};
-use crate::wire::user::Shape;
-use crate::workers::{self, Machine};
-use decide::{KEEP_BOOKS, Pass, Rounds, Wish};
+use crate::wire::user::JobKind;
+use crate::workers::{self, WorkerState};
+use decide::{BOOKKEEPING_RESERVE, PlanRequest, ReconcileInput, WriteSchedule};
 use foldhash::HashSet;
 use futures_lite::FutureExt;
 use std::cell::{Cell, OnceCell, RefCell};
@@ -43,7 +43,7 @@
 /// The same if their owner is not there.
 const TAKE_ORPHAN: Micros = 3 * SECOND / 10;
 /// The owner of this part places gangs.
-const GANGS: u32 = 0;
+const GANG_SHARD: u32 = 0;
 /// The state service's limits are shared evenly by the controllers that are alive; a little stays
 /// for requests that are not counted here (leases) and for clocks that differ.
 pub const REQUEST_SHARE: f64 = 0.94;
@@ -52,16 +52,16 @@
 
 /// What the control loop remembers.
 #[derive(Default)]
-pub struct Control {
-    rounds: RefCell<Rounds>,
+pub struct Reconciler {
+    rounds: RefCell<WriteSchedule>,
     /// Jobs with a transaction under way.
     busy: RefCell<HashSet<JobId>>,
     /// What machines' reports prove about attempts, and the blocks do not say yet.
-    lefts: RefCell<BTreeMap<HostId, Vec<Intent>>>,
+    lefts: RefCell<BTreeMap<MachineId, Vec<JobChange>>>,
     checked: Cell<Micros>,
     swept: Cell<Micros>,
     sweep_every: Cell<Micros>,
-    hosts_at: Cell<Micros>,
+    machines_checked_at: Cell<Micros>,
     adopted: RefCell<Adopted>,
 }
 
@@ -73,19 +73,19 @@
     at: Micros,
 }
 
-impl Node {
+impl Controller {
     /// Runs passes, one when something changed and one a while after the last.
-    pub async fn control_loop(self: Rc<Node>) {
+    pub async fn reconcile_loop(self: Rc<Controller>) {
         loop {
-            if !self.feed.bell().rang() {
-                let l = self.feed.bell().listen();
-                if !self.feed.bell().rang() {
+            if !self.watch_cache.notifier().take_notified() {
+                let l = self.watch_cache.notifier().listen();
+                if !self.watch_cache.notifier().take_notified() {
                     l.or(self.sleep(IDLE_PASS)).await;
-                    self.feed.bell().rang();
+                    self.watch_cache.notifier().take_notified();
                 }
             }
             let begun = self.clock.now();
-            if self.feed.loaded() {
+            if self.watch_cache.loaded() {
                 self.pass();
             }
             let took = self.clock.now().saturating_sub(begun);
@@ -94,108 +94,111 @@
     }
 
     /// Terms under which we drive each part.
-    pub fn terms(&self, view: &View) -> Vec<Option<u64>> {
-        (0..PARTS).map(|p| self.term(view, p)).collect()
+    pub fn terms(&self, view: &ClusterState) -> Vec<Option<u64>> {
+        (0..SHARD_COUNT).map(|p| self.term(view, p)).collect()
     }
 
     /// One pass: everything that follows from the view and the reports as they are now. Between two
     /// sweeps only machines are looked at that were heard, or whose tasks changed.
-    fn pass(self: &Rc<Node>) {
+    fn pass(self: &Rc<Controller>) {
         let now = self.clock.now();
-        let terms = self.terms(&self.feed.view());
-        let full = now.saturating_sub(self.control.swept.get()) >= self.control.sweep_every.get();
-        let mut dirty = self.fleet.take_dirty();
-        dirty.extend(self.feed.take_touched());
-        let check = now.saturating_sub(self.control.checked.get()) >= CHECK;
+        let terms = self.terms(&self.watch_cache.view());
+        let full =
+            now.saturating_sub(self.reconciler.swept.get()) >= self.reconciler.sweep_every.get();
+        let mut changed = self.workers.take_changed();
+        changed.extend(self.watch_cache.take_touched());
+        let check = now.saturating_sub(self.reconciler.checked.get()) >= CHECK;
         if check {
-            self.control.checked.set(now);
-            dirty.extend(self.fleet.restless(self.settings.report * 5 / 4, now));
-            dirty.extend(self.control.lefts.borrow().keys().cloned());
+            self.reconciler.checked.set(now);
+            changed.extend(
+                self.workers
+                    .unsettled(self.settings.heartbeat_interval * 5 / 4, now),
+            );
+            changed.extend(self.reconciler.lefts.borrow().keys().cloned());
         }
-        let mut staged: Vec<Staged> = Vec::new();
+        let mut staged: Vec<StagedTransaction> = Vec::new();
         {
-            let view = self.feed.view();
+            let view = self.watch_cache.view();
             self.share(&view);
             // Machines come and go all the time on a large fleet.
             let came = {
-                let adopted = self.control.adopted.borrow();
+                let adopted = self.reconciler.adopted.borrow();
                 let due = now.saturating_sub(adopted.at) >= SILENT;
-                adopted.terms != terms || (due && adopted.epoch != view.hosts_epoch)
+                adopted.terms != terms || (due && adopted.epoch != view.machines_epoch)
             };
             if check || came {
                 self.adopt_machines(&view, &terms, now);
-                *self.control.adopted.borrow_mut() = Adopted {
-                    epoch: view.hosts_epoch,
+                *self.reconciler.adopted.borrow_mut() = Adopted {
+                    epoch: view.machines_epoch,
                     terms: terms.clone(),
                     at: now,
                 };
             }
-            if self.feed.current() {
-                self.look(&view, full, &dirty, now);
+            if self.watch_cache.current() {
+                self.look(&view, full, &changed, now);
                 let capped = |t: &str| self.settings.team(t).is_some_and(|t| t.capped());
-                let plan = |wish: &Wish<'_>| self.plan(&view, &terms, wish, now);
-                staged = self.control.rounds.borrow_mut().decide(&Pass {
+                let plan = |wish: &PlanRequest<'_>| self.plan(&view, &terms, wish, now);
+                staged = self.reconciler.rounds.borrow_mut().decide(&ReconcileInput {
                     view: &view,
-                    lefts: &self.control.lefts.borrow(),
-                    busy: &self.control.busy.borrow(),
-                    budget: self.feed.client().write_level(),
+                    ended_attempts: &self.reconciler.lefts.borrow(),
+                    jobs_in_flight: &self.reconciler.busy.borrow(),
+                    write_budget: self.watch_cache.client().write_level(),
                     limits: self.limits(),
-                    capped: &capped,
+                    has_team_limit: &capped,
                     plan: &plan,
                     now,
                 });
             }
         }
-        if full || now.saturating_sub(self.control.hosts_at.get()) >= SILENT {
-            self.control.hosts_at.set(now);
-            self.write_hosts(now);
-            self.overdue(now, &mut dirty);
+        if full || now.saturating_sub(self.reconciler.machines_checked_at.get()) >= SILENT {
+            self.reconciler.machines_checked_at.set(now);
+            self.write_machine_records(now);
+            self.overdue(now, &mut changed);
         }
         for s in staged {
-            self.control
+            self.reconciler
                 .busy
                 .borrow_mut()
                 .extend(s.jobs.iter().cloned());
             let n = self.clone();
-            self.ex
+            self.executor
                 .spawn(async move {
                     n.commit(&s).await;
-                    let mut busy = n.control.busy.borrow_mut();
+                    let mut busy = n.reconciler.busy.borrow_mut();
                     for j in &s.jobs {
                         busy.remove(j);
                     }
                     drop(busy);
-                    n.feed.bell().ring();
+                    n.watch_cache.notifier().notify();
                 })
                 .detach();
         }
-        self.drive(now, (!full).then_some(&dirty));
+        self.drive(now, (!full).then_some(&changed));
         if full {
             let took = self.clock.now().saturating_sub(now);
-            self.control.swept.set(now);
-            self.control.sweep_every.set(SWEEP.max(took * SWEEP_REST));
+            self.reconciler.swept.set(now);
+            self.reconciler
+                .sweep_every
+                .set(SWEEP.max(took * SWEEP_REST));
         }
     }
 
     /// Keeps our share of the state service's limits: those who are alive share them.
-    fn share(&self, view: &View) {
-        let n = view
-            .members
-            .len()
-            .clamp(1, self.settings.siblings.len() + 1) as f64;
+    fn share(&self, view: &ClusterState) {
+        let n = view.members.len().clamp(1, self.settings.peers.len() + 1) as f64;
         let l = self.state_limits();
-        self.feed
+        self.watch_cache
             .client()
             .share(l.rps * REQUEST_SHARE / n, l.write_rps * WRITE_SHARE / n);
     }
 
     /// What the machines' reports prove.
-    fn look(&self, view: &View, full: bool, dirty: &HashSet<HostId>, now: Micros) {
-        let machines = self.fleet.machines();
-        let mut lefts = self.control.lefts.borrow_mut();
-        let mut one = |id: &HostId, m: &Machine| {
+    fn look(&self, view: &ClusterState, full: bool, changed: &HashSet<MachineId>, now: Micros) {
+        let machines = self.workers.machines();
+        let mut lefts = self.reconciler.lefts.borrow_mut();
+        let mut one = |id: &MachineId, m: &WorkerState| {
             let mut out = Vec::new();
-            workers::reconcile(view, id, m, self.settings.lease, now, &mut out);
+            workers::reconcile(view, id, m, self.settings.worker_lease, now, &mut out);
             if out.is_empty() {
                 lefts.remove(id);
             } else {
@@ -207,7 +210,7 @@
                 one(id, m);
             }
         } else {
-            for id in dirty {
+            for id in changed {
                 if let Some(m) = machines.get(id) {
                     one(id, m);
                 }
@@ -219,110 +222,117 @@
     /// The plan for our machines, and of gangs if these fall to us.
     fn plan(
         &self,
-        view: &View,
+        view: &ClusterState,
         terms: &[Option<u64>],
-        wish: &Wish<'_>,
+        wish: &PlanRequest<'_>,
         now: Micros,
-    ) -> Vec<Intent> {
+    ) -> Vec<JobChange> {
         if terms.iter().all(Option::is_none) {
             return Vec::new();
         }
-        let machines = self.fleet.machines();
+        let machines = self.workers.machines();
         // Jobs belong to parts as machines do.
-        let mine = |name: &str| terms[part_of(name) as usize].is_some();
-        let gangs = wish.steps && terms[GANGS as usize].is_some();
-        let gang = |j: &Job| j.spec.kind == Shape::Gang && j.queued() > 0;
+        let mine = |name: &str| terms[shard_of(name) as usize].is_some();
+        let gangs = wish.deadline_steps && terms[GANG_SHARD as usize].is_some();
+        let gang = |j: &Job| j.spec.kind == JobKind::Gang && j.queued() > 0;
         let waits = gangs && view.waiting().any(|(_, j)| gang(j));
         // Seldom asked for: without mute machines no plan looks at all of them.
-        let many_mute = OnceCell::new();
-        let many =
-            |m: &Machine| m.mute() && *many_mute.get_or_init(|| workers::many_mute(&machines));
+        let many_inbound_partitions = OnceCell::new();
+        let many = |m: &WorkerState| {
+            m.inbound_partition()
+                && *many_inbound_partitions
+                    .get_or_init(|| workers::many_inbound_partitions(&machines))
+        };
         let mut services = view.waiting_services().filter(|(_, j)| j.queued() > 0);
         let serves = services.any(|(id, _)| mine(id));
-        let open = |id: &HostId, h: &Host| {
-            if !matches!(h.state, HostState::Up | HostState::Booting) {
+        let open = |id: &MachineId, h: &MachineRecord| {
+            if !matches!(h.state, MachineState::Up | MachineState::Booting) {
                 return None;
             }
             match machines.get(id) {
                 Some(m) => {
-                    let session =
-                        workers::opens(m, h.session, many(m), (self.settings.report, now));
-                    session.map(|session| Open {
+                    let session = workers::opens(
+                        m,
+                        h.session,
+                        many(m),
+                        (self.settings.heartbeat_interval, now),
+                    );
+                    session.map(|session| SchedulableMachine {
                         session,
-                        mine: true,
+                        owned: true,
                     })
                 }
                 None if !(waits || serves) || mine(id) => None,
                 None => {
                     let session = match h.state {
-                        HostState::Up => Some(h.session),
-                        _ => self.members.up_at_peer(id, now),
+                        MachineState::Up => Some(h.session),
+                        _ => self.membership.ready_at_peer(id, now),
                     };
-                    session.map(|session| Open {
+                    session.map(|session| SchedulableMachine {
                         session,
-                        mine: false,
+                        owned: false,
                     })
                 }
             }
         };
-        let held_back = |j: &str| {
-            if self.fleet.backs_off(j, now) {
+        let in_backoff = |j: &str| {
+            if self.workers.backs_off(j, now) {
                 return true;
             }
             let Some(job) = view.jobs.get(j) else {
                 return true;
             };
-            if mine(j) || job.spec.kind == Shape::Gang {
+            if mine(j) || job.spec.kind == JobKind::Gang {
                 return false;
             }
-            let alive = view.parts.get(&part_of(j)).is_some_and(|p| {
+            let alive = view.shards.get(&shard_of(j)).is_some_and(|p| {
                 view.members
                     .get(&p.owner)
                     .is_some_and(|m| m.lease == p.lease)
             });
             let wait = match (alive, job.spec.kind) {
                 (false, _) => TAKE_ORPHAN,
-                _ if job.step() => TAKE_PIPED,
-                (true, Shape::Service) => TAKE_SERVICE,
+                _ if job.is_deadline_step() => TAKE_PIPED,
+                (true, JobKind::Service) => TAKE_SERVICE,
                 _ => TAKE_ARRAY,
             };
-            wall().saturating_sub(job.since) < wait
+            wall().saturating_sub(job.waiting_since) < wait
         };
-        let under_way = self.control.busy.borrow();
+        let under_way = self.reconciler.busy.borrow();
         let busy = |id: &JobId| under_way.contains(id);
-        scheduling::plan(&Scene {
+        scheduling::schedule(&SchedulingInput {
             view,
-            wall: wall(),
+            wall_clock: wall(),
             teams: &self.settings.teams,
             objectives: &self.settings.objectives,
-            open: &open,
+            schedulable: &open,
             freed: wish.freed,
-            held_back: &held_back,
-            home: &mine,
-            mine: &mine,
-            gangs,
-            arrays: wish.arrays,
-            steps: wish.steps,
+            in_backoff: &in_backoff,
+            owns_job: &mine,
+            owns_machine: &mine,
+            place_gangs: gangs,
+            place_arrays: wish.arrays,
+            place_deadline_steps: wish.deadline_steps,
             forecast: false,
-            writes: wish.writes.map(|jobs| Writes { jobs, busy: &busy }),
+            write_limit: wish.max_jobs.map(|jobs| Writes { jobs, busy: &busy }),
         })
-        .intents
+        .changes
     }
 
-    async fn commit(&self, s: &Staged) {
-        match self.feed.txn(&s.txn).await {
-            Outcome::Done(_) => {}
-            Outcome::Conflict(keys) => {
+    async fn commit(&self, s: &StagedTransaction) {
+        match self.watch_cache.transaction(&s.transaction).await {
+            TransactionOutcome::Done(_) => {}
+            TransactionOutcome::Conflict(keys) => {
                 tracing::debug!(?keys, "conflict");
-                self.feed.barrier().await;
+                self.watch_cache.linearizable_read().await;
             }
-            Outcome::Refused(code) => {
+            TransactionOutcome::Refused(code) => {
                 tracing::debug!(code, "refused");
                 self.sleep(SECOND / 8).await;
             }
-            Outcome::Unknown => {
+            TransactionOutcome::Unknown => {
                 // It may have been carried out, or may yet be: its guards keep that harmless.
-                self.feed.barrier().await;
+                self.watch_cache.linearizable_read().await;
             }
         }
     }
@@ -330,15 +340,15 @@
     /// Deletes what jobs that are over left behind.
     pub async fn clean(&self) {
         loop {
-            let t = sweep(&self.feed.view(), self.limits());
+            let t = collect_garbage(&self.watch_cache.view(), self.limits());
             let Some(t) = t else { return };
-            match self.feed.txn(&t).await {
-                Outcome::Done(_) => {}
+            match self.watch_cache.transaction(&t).await {
+                TransactionOutcome::Done(_) => {}
                 _ => return,
             }
             // More of it only with writes that nobody else needs.
-            let (level, burst) = self.feed.client().write_level();
-            if level < burst * KEEP_BOOKS {
+            let (level, burst) = self.watch_cache.client().write_level();
+            if level < burst * BOOKKEEPING_RESERVE {
                 return;
             }
         }
--- a/src/scheduling/bin_packing.rs
+++ b/src/scheduling/bin_packing.rs
@@ -2,8 +2,8 @@
 //! order of the machines is kept from the second such job on and follows what was taken meanwhile: a
 //! plan costs machines and what it takes of them, not jobs times machines.
 
-use super::{Kind, Run, Spot, offer, score, warm};
-use crate::jobs::model::Room;
+use super::{CandidateMachine, Kind, Run, offer, score, warm};
+use crate::jobs::model::Resources;
 use foldhash::{HashMap, HashSet};
 use std::collections::BTreeSet;
 
@@ -11,8 +11,8 @@
 pub(super) type Score = (i64, i64);
 
 /// The machines.
-pub(super) struct Spots<'a> {
-    pub(super) list: Vec<Spot<'a>>,
+pub(super) struct CandidateMachines<'a> {
+    pub(super) list: Vec<CandidateMachine<'a>>,
     /// Machines of which something was taken, in that order, one that is the last already not again.
     log: Vec<usize>,
     /// Kinds of tasks that were asked for.
@@ -33,9 +33,9 @@
     seen: usize,
 }
 
-impl<'a> Spots<'a> {
-    pub(super) fn new(list: Vec<Spot<'a>>) -> Spots<'a> {
-        Spots {
+impl<'a> CandidateMachines<'a> {
+    pub(super) fn new(list: Vec<CandidateMachine<'a>>) -> CandidateMachines<'a> {
+        CandidateMachines {
             list,
             log: Vec::new(),
             asked: HashSet::default(),
@@ -45,8 +45,8 @@
     }
 
     /// Takes room of a machine.
-    pub(super) fn take(&mut self, k: usize, room: &Room) {
-        self.list[k].free.take(room);
+    pub(super) fn take(&mut self, k: usize, room: &Resources) {
+        self.list[k].free.subtract(room);
         if self.log.last() != Some(&k) {
             self.log.push(k);
         }
@@ -119,7 +119,7 @@
 
     /// Brings the order for a kind of task up to what has been taken.
     fn follow(&mut self, key: Key<'a>, run: &Run<'a>) {
-        let of = |sp: &Spot<'_>| rate(run, sp, key.2.is_some());
+        let of = |sp: &CandidateMachine<'_>| rate(run, sp, key.2.is_some());
         if !self.ranked.contains_key(&key) {
             let one = |k: usize| Some((of(&self.list[k])?, k));
             let all: Vec<(Score, usize)> = match (key.2, self.having(key.2)) {
@@ -157,7 +157,7 @@
 }
 
 /// What a machine with room for a run is worth to it.
-fn rate(run: &Run<'_>, sp: &Spot<'_>, warm: bool) -> Option<Score> {
-    let fits = run.suits(sp) && offer(run.spec, sp, &run.gpus).fits(&run.spec.room);
+fn rate(run: &Run<'_>, sp: &CandidateMachine<'_>, warm: bool) -> Option<Score> {
+    let fits = run.suits(sp) && offer(run.spec, sp, &run.gpus).fits(&run.spec.resources);
     fits.then(|| score(run.spec, sp, warm))
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,8 +1,8 @@
 //! Client of the state service: a budget of requests, transactions, leases, lists and watches.
 
 use crate::time::{Clock, MILLI, Micros, SECOND, dur};
-use crate::wire::client::{Answer, Client};
-use crate::wire::state::{self, Lease, LeaseAsk, Log, Page, Revision, Txn};
+use crate::wire::client::{Client, ClientResponse};
+use crate::wire::state::{self, Lease, LeaseRequest, Page, Revision, Transaction, WatchResponse};
 use crate::wire::{WireError, decode, encode};
 use async_io::Timer;
 use http_types::Method;
@@ -12,7 +12,7 @@
 
 /// What became of a transaction.
 #[derive(Debug, PartialEq)]
-pub enum Outcome {
+pub enum TransactionOutcome {
     /// Carried out at this revision.
     Done(u64),
     /// A condition failed.
@@ -24,16 +24,16 @@
 }
 
 /// A rate that refills with time, with a burst of one second's worth.
-pub struct Bucket {
+pub struct TokenBucket {
     rate: f64,
     level: f64,
     at: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full bucket.
-    pub fn new(rate: f64) -> Bucket {
-        Bucket {
+    pub fn new(rate: f64) -> TokenBucket {
+        TokenBucket {
             rate,
             level: rate.max(1.0),
             at: 0,
@@ -81,8 +81,8 @@
     http: Rc<Client>,
     addr: SocketAddr,
     clock: Clock,
-    requests: RefCell<Bucket>,
-    writes: RefCell<Bucket>,
+    requests: RefCell<TokenBucket>,
+    writes: RefCell<TokenBucket>,
     /// When a request was last answered other than by a refusal.
     pub last_ok: Cell<Micros>,
     /// When a request last failed or was refused.
@@ -105,8 +105,8 @@
             http,
             addr,
             clock,
-            requests: RefCell::new(Bucket::new(rps)),
-            writes: RefCell::new(Bucket::new(write_rps)),
+            requests: RefCell::new(TokenBucket::new(rps)),
+            writes: RefCell::new(TokenBucket::new(write_rps)),
             last_ok: Cell::new(0),
             last_bad: Cell::new(0),
         }
@@ -150,7 +150,7 @@
         path: &str,
         body: Option<Vec<u8>>,
         limit: Micros,
-    ) -> Result<Answer, WireError> {
+    ) -> Result<ClientResponse, WireError> {
         let res = self.http.call(self.addr, method, path, body, limit).await;
         let now = self.clock.now();
         match &res {
@@ -163,8 +163,8 @@
     }
 
     /// Runs a transaction.
-    pub async fn txn(&self, t: &Txn) -> Outcome {
-        self.budget(t.then.len()).await;
+    pub async fn transaction(&self, t: &Transaction) -> TransactionOutcome {
+        self.budget(t.mutations.len()).await;
         if tracing::enabled!(tracing::Level::DEBUG) {
             tracing::debug!(changes = t.kinds(), "transaction");
         }
@@ -173,10 +173,10 @@
             .await
         {
             Ok(a) if a.status == 200 => match decode::<Revision>(&a.body) {
-                Ok(r) => Outcome::Done(r.ledger_rev),
-                Err(_) => Outcome::Unknown,
+                Ok(r) => TransactionOutcome::Done(r.revision),
+                Err(_) => TransactionOutcome::Unknown,
             },
-            Ok(a) if a.status == 409 => Outcome::Conflict(
+            Ok(a) if a.status == 409 => TransactionOutcome::Conflict(
                 decode::<Revision>(&a.body)
                     .map(|r| r.failed)
                     .unwrap_or_default(),
@@ -185,17 +185,17 @@
                 if a.status == 400 && !String::from_utf8_lossy(&a.body).contains("no such lease") {
                     // A lease that ended says so; anything else is a fault of ours.
                     tracing::error!(
-                        first = t.then.first().map(state::Change::key),
-                        changes = t.then.len(),
-                        guards = t.guards.len(),
+                        first = t.mutations.first().map(state::Mutation::key),
+                        changes = t.mutations.len(),
+                        preconditions = t.preconditions.len(),
                         largest = t.largest(),
                         "transaction refused: {}",
                         String::from_utf8_lossy(&a.body).replace('\n', " ")
                     );
                 }
-                Outcome::Refused(a.status)
+                TransactionOutcome::Refused(a.status)
             }
-            _ => Outcome::Unknown,
+            _ => TransactionOutcome::Unknown,
         }
     }
 
@@ -218,9 +218,9 @@
                 )
                 .await?;
             let page: Page = a.ok()?;
-            lo = lo.min(page.ledger_rev);
-            hi = hi.max(page.ledger_rev);
-            after = page.items.last().map(|i| i.path.clone());
+            lo = lo.min(page.revision);
+            hi = hi.max(page.revision);
+            after = page.items.last().map(|i| i.key.clone());
             for i in page.items {
                 each(i);
             }
@@ -242,13 +242,18 @@
             .await?;
         match a.status {
             200 => Ok(Ok(decode(&a.body)?)),
-            404 => Ok(Err(decode::<Revision>(&a.body)?.ledger_rev)),
+            404 => Ok(Err(decode::<Revision>(&a.body)?.revision)),
             s => Err(WireError::Status(s)),
         }
     }
 
     /// Asks for changes after a revision; with a wait of 0 this is a read begun now.
-    pub async fn watch(&self, prefix: &str, after: u64, wait: Micros) -> Result<Log, WireError> {
+    pub async fn watch(
+        &self,
+        prefix: &str,
+        after: u64,
+        wait: Micros,
+    ) -> Result<WatchResponse, WireError> {
         self.budget(0).await;
         let path = state::watch(prefix, after, wait / MILLI);
         // An open watch stays open during an outage; give it time beyond its wait, but not for ever.
@@ -258,13 +263,13 @@
 
     /// Takes a lease.
     pub async fn lease(&self, ttl: Micros) -> Result<u64, WireError> {
-        let body = encode(&LeaseAsk {
+        let body = encode(&LeaseRequest {
             ttl_ms: ttl / MILLI,
         });
         let a = self
             .call(Method::Post, state::LEASES, Some(body), SECOND)
             .await?;
-        Ok(a.ok::<Lease>()?.permit)
+        Ok(a.ok::<Lease>()?.id)
     }
 
     /// Renews a lease: false if it has ended.
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -27,9 +27,9 @@
 /// The leader.
 pub const LEADER: &str = "c/leader";
 /// Raises of the last round.
-pub const RAISES: &str = "c/raises";
+pub const PRIORITY_BOOSTS: &str = "c/raises";
 /// What became of the jobs of each class and team.
-pub const SERVED: &str = "c/served";
+pub const SERVICE_LEVELS: &str = "c/served";
 /// Machine types as last read.
 pub const TYPES: &str = "c/types";
 
@@ -59,15 +59,15 @@
     format!("c/version/{node}")
 }
 /// How it ended.
-pub fn fin(id: &str) -> String {
+pub fn finished_job(id: &str) -> String {
     format!("c/final/{id}")
 }
 /// A machine.
-pub fn host(id: &str) -> String {
+pub fn machine(id: &str) -> String {
     format!("c/host/{id}")
 }
 /// A rental about to be made.
-pub fn charter(name: &str) -> String {
+pub fn scale_out_request(name: &str) -> String {
     format!("c/charter/{name}")
 }
 /// Machines on their way back.
@@ -83,7 +83,7 @@
     format!("c/member/{node}")
 }
 /// A part.
-pub fn part(n: u32) -> String {
+pub fn shard(n: u32) -> String {
     format!("c/part/{n}")
 }
 /// Serialises the placements of a capped team.
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -1,13 +1,13 @@
 //! The feed: reads the state service into the view, and says how current the view is.
 
-use super::client::{Outcome, StoreClient};
-use super::cluster_state::View;
+use super::client::{StoreClient, TransactionOutcome};
+use super::cluster_state::ClusterState;
 use super::keys;
-use crate::ids::HostId;
-use crate::jobs::model::{Final, JobId};
+use crate::ids::MachineId;
+use crate::jobs::model::{FinishedJob, JobId};
 use crate::time::{Clock, MILLI, Micros, SECOND, dur};
 use crate::wire::WireError;
-use crate::wire::state::{Change, Event, Log, Txn};
+use crate::wire::state::{Event, Mutation, Transaction, WatchResponse};
 use async_io::Timer;
 use event_listener::{Event as Wake, EventListener};
 use foldhash::{HashSet, HashSetExt};
@@ -15,7 +15,7 @@
 
 /// Pause between two reads of the watch: every write would otherwise cost each node a request.
 const WATCH_PAUSE: Micros = 40 * MILLI;
-const BARRIER_PAUSE: Micros = 40 * MILLI;
+const LINEARIZABLE_READ_PAUSE: Micros = 40 * MILLI;
 const WATCH_WAIT: Micros = SECOND;
 /// While reads that users asked for follow each other no later than this, they tell everything: a watch
 /// beside them would have every change sent and read twice.
@@ -23,24 +23,24 @@
 /// A view that was not read for so long counts as cut off from the state service.
 const STALE: Micros = 3 * SECOND;
 /// How often jobs are looked for of which nothing is known, and how many of them each time.
-const GATES: Micros = SECOND / 5;
-const GATES_AT_ONCE: usize = 20;
+const DEPENDENCY_LOOKUP_INTERVAL: Micros = SECOND / 5;
+const DEPENDENCY_LOOKUPS_AT_ONCE: usize = 20;
 
 /// Tells loops that there is something to look at.
 #[derive(Default)]
-pub struct Bell {
+pub struct ChangeNotifier {
     rung: Cell<bool>,
     event: Wake,
 }
 
-impl Bell {
+impl ChangeNotifier {
     /// Rings.
-    pub fn ring(&self) {
+    pub fn notify(&self) {
         self.rung.set(true);
         self.event.notify(usize::MAX);
     }
     /// Whether it rang since this was asked last. For one loop only.
-    pub fn rang(&self) -> bool {
+    pub fn take_notified(&self) -> bool {
         self.rung.replace(false)
     }
     /// Waits for the next time.
@@ -82,10 +82,10 @@
 }
 
 /// The view, and what keeps it current.
-pub struct Feed {
+pub struct WatchCache {
     clock: Clock,
     client: StoreClient,
-    view: RefCell<View>,
+    view: RefCell<ClusterState>,
     /// Whether the view holds everything up to some moment after the start.
     loaded: Cell<bool>,
     /// A moment at which the view was known to be current.
@@ -94,7 +94,7 @@
     whole_at: Cell<Micros>,
     /// When a read that somebody asked for was answered last.
     told_at: Cell<Micros>,
-    bell: Bell,
+    notifier: ChangeNotifier,
     barriers: async_channel::Sender<async_channel::Sender<bool>>,
     barrier_queue: async_channel::Receiver<async_channel::Sender<bool>>,
 }
@@ -103,11 +103,11 @@
     Timer::after(dur(t)).await;
 }
 
-impl Feed {
+impl WatchCache {
     /// A feed that read nothing yet.
-    pub fn new(client: StoreClient, clock: Clock) -> Feed {
+    pub fn new(client: StoreClient, clock: Clock) -> WatchCache {
         let (barriers, barrier_queue) = async_channel::unbounded();
-        Feed {
+        WatchCache {
             clock,
             client,
             view: RefCell::default(),
@@ -115,20 +115,20 @@
             fresh_at: Cell::new(0),
             whole_at: Cell::new(0),
             told_at: Cell::new(0),
-            bell: Bell::default(),
+            notifier: ChangeNotifier::default(),
             barriers,
             barrier_queue,
         }
     }
 
     /// The view as it is now. Not to be held over an await.
-    pub fn view(&self) -> Ref<'_, View> {
+    pub fn view(&self) -> Ref<'_, ClusterState> {
         self.view.borrow()
     }
 
     /// Machines whose key or tasks changed since this was asked last.
-    pub fn take_touched(&self) -> HashSet<HostId> {
-        std::mem::take(&mut self.view.borrow_mut().touched)
+    pub fn take_touched(&self) -> HashSet<MachineId> {
+        std::mem::take(&mut self.view.borrow_mut().changed_machines)
     }
 
     /// The client, for leases and budgets.
@@ -137,8 +137,8 @@
     }
 
     /// What rings when the view changes.
-    pub fn bell(&self) -> &Bell {
-        &self.bell
+    pub fn notifier(&self) -> &ChangeNotifier {
+        &self.notifier
     }
 
     /// Whether the view holds everything up to some moment after the start.
@@ -169,23 +169,23 @@
     }
 
     /// What a peer says of cancellations that the view does not show yet.
-    pub fn hear_withdrawn(&self, list: &[(String, u64)]) {
+    pub fn merge_cancelled(&self, list: &[(String, u64)]) {
         let mut v = self.view.borrow_mut();
         let before = v.epoch;
         for (id, stamp) in list {
-            v.hear_withdrawn(id, *stamp);
+            v.merge_cancelled(id, *stamp);
         }
         let changed = v.epoch != before;
         drop(v);
         if changed {
-            self.bell.ring();
+            self.notifier.notify();
         }
     }
 
     /// Runs a transaction; what it wrote is in the view before the watch tells it.
-    pub async fn txn(&self, t: &Txn) -> Outcome {
-        let out = self.client.txn(t).await;
-        if let Outcome::Done(rev) = out {
+    pub async fn transaction(&self, t: &Transaction) -> TransactionOutcome {
+        let out = self.client.transaction(t).await;
+        if let TransactionOutcome::Done(rev) = out {
             self.wrote(t, rev);
         }
         out
@@ -193,36 +193,47 @@
 
     /// `begun`: when the question was asked; `fresh`: when its answer was surely not given yet, or a guess
     /// at when it was.
-    fn take_log(&self, log: Log, begun: Micros, fresh: Micros) {
+    fn take_log(&self, log: WatchResponse, begun: Micros, fresh: Micros) {
         let mut v = self.view.borrow_mut();
         let before = v.epoch;
-        for e in &log.log {
+        for e in &log.events {
             match e {
-                Event::Put { put, v: val, stamp } => v.put(put, val, *stamp),
-                Event::Delete { remove, stamp } => v.delete(remove, *stamp),
+                Event::Put {
+                    key: put,
+                    value: val,
+                    version: stamp,
+                } => v.put(put, val, *stamp),
+                Event::Delete {
+                    key: remove,
+                    version: stamp,
+                } => v.delete(remove, *stamp),
             }
         }
-        v.rev = v.rev.max(log.ledger_rev);
+        v.revision = v.revision.max(log.revision);
         let changed = v.epoch != before;
         drop(v);
         self.fresh_at.set(self.fresh_at.get().max(fresh));
         self.whole_at.set(self.whole_at.get().max(begun));
         if changed {
-            self.bell.ring();
+            self.notifier.notify();
         }
     }
 
     /// Applies what our own transaction wrote, ahead of the watch.
-    fn wrote(&self, t: &Txn, rev: u64) {
+    fn wrote(&self, t: &Transaction, rev: u64) {
         let mut v = self.view.borrow_mut();
-        for c in &t.then {
+        for c in &t.mutations {
             match c {
-                Change::Put { put, v: val, .. } => v.put(put, val, rev),
-                Change::Delete { remove } => v.delete(remove, rev),
+                Mutation::Put {
+                    key: put,
+                    value: val,
+                    ..
+                } => v.put(put, val, rev),
+                Mutation::Delete { key: remove } => v.delete(remove, rev),
             }
         }
         drop(v);
-        self.bell.ring();
+        self.notifier.notify();
     }
 
     async fn load(&self) -> Result<(), WireError> {
@@ -233,27 +244,27 @@
             let (l, h) = self.client.list(prefix, |i| got.push(i)).await?;
             let mut v = self.view.borrow_mut();
             for i in got {
-                seen.insert(i.path.clone());
-                v.put(&i.path, &i.v, i.stamp);
+                seen.insert(i.key.clone());
+                v.put(&i.key, &i.value, i.version);
             }
             v.retain_prefix(prefix, &seen, l);
             lo = lo.min(l);
             hi = hi.max(h);
         }
-        self.view.borrow_mut().rev = lo;
+        self.view.borrow_mut().revision = lo;
         // The lists were read one after the other: only the log up to the last makes them one.
         loop {
-            let after = self.view.borrow().rev;
+            let after = self.view.borrow().revision;
             let begun = self.clock.now();
             let log = self.client.watch(keys::ALL, after, 0).await?;
             self.take_log(log, begun, begun);
-            if self.view.borrow().rev >= hi {
+            if self.view.borrow().revision >= hi {
                 break;
             }
         }
         self.loaded.set(true);
         tracing::info!(rev = hi, "view loaded");
-        self.bell.ring();
+        self.notifier.notify();
         Ok(())
     }
 
@@ -280,7 +291,7 @@
                 sleep(WATCH_PAUSE / 2).await;
                 continue;
             }
-            let after = self.view.borrow().rev;
+            let after = self.view.borrow().revision;
             let begun = self.clock.now();
             match self.client.watch(keys::ALL, after, WATCH_WAIT).await {
                 Ok(log) => {
@@ -301,7 +312,7 @@
 
     /// Waits for a read begun after the call, with everything before it in the view. False if the
     /// state service does not answer.
-    pub async fn barrier(&self) -> bool {
+    pub async fn linearizable_read(&self) -> bool {
         if !self.loaded.get() {
             return false;
         }
@@ -313,14 +324,14 @@
     }
 
     /// One read serves everyone who asked before it began.
-    pub async fn barrier_loop(&self) {
+    pub async fn linearizable_read_loop(&self) {
         while let Ok(first) = self.barrier_queue.recv().await {
             let mut all = vec![first];
             while let Ok(x) = self.barrier_queue.try_recv() {
                 all.push(x);
             }
             let begun = self.clock.now();
-            let after = self.view.borrow().rev;
+            let after = self.view.borrow().revision;
             let ok = match self.client.watch(keys::ALL, after, 0).await {
                 Ok(log) => {
                     self.take_log(log, begun, begun);
@@ -336,20 +347,20 @@
             for x in all {
                 let _ = x.try_send(ok);
             }
-            sleep(BARRIER_PAUSE).await;
+            sleep(LINEARIZABLE_READ_PAUSE).await;
         }
     }
 
     /// Asks how jobs ended that others wait for and of which nothing is at hand: final states are
     /// not loaded at the start.
-    pub async fn gates_loop(&self) {
+    pub async fn dependency_lookup_loop(&self) {
         loop {
-            sleep(GATES).await;
+            sleep(DEPENDENCY_LOOKUP_INTERVAL).await;
             if !self.loaded.get() || !self.current() {
                 continue;
             }
-            let list = self.view.borrow().unknown_gates();
-            for id in list.iter().take(GATES_AT_ONCE) {
+            let list = self.view.borrow().unknown_dependencies();
+            for id in list.iter().take(DEPENDENCY_LOOKUPS_AT_ONCE) {
                 if self.read_final(id).await.is_err() {
                     break;
                 }
@@ -358,13 +369,13 @@
     }
 
     /// Reads how a job ended: `None` if no final state is there.
-    pub async fn read_final(&self, id: &JobId) -> Result<Option<Final>, WireError> {
-        match self.client.get(&keys::fin(id), SECOND).await? {
+    pub async fn read_final(&self, id: &JobId) -> Result<Option<FinishedJob>, WireError> {
+        match self.client.get(&keys::finished_job(id), SECOND).await? {
             Ok(item) => {
-                let f: Final = crate::wire::from_value(&item.v)
-                    .ok_or_else(|| WireError::Malformed(keys::fin(id)))?;
+                let f: FinishedJob = crate::wire::from_value(&item.value)
+                    .ok_or_else(|| WireError::Malformed(keys::finished_job(id)))?;
                 self.view.borrow_mut().remember(id, f);
-                self.bell.ring();
+                self.notifier.notify();
                 Ok(Some(f))
             }
             Err(_) => Ok(None),
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `store/feed.rs` that need its private parts.
+//! Tests of `store/watch_cache.rs` that need its private parts.
 
 use super::*;
 
