--- a/src/workers/drive.rs
+++ b/src/workers/drive.rs
@@ -1,22 +1,22 @@
 //! Driving workers: reports in, orders out, and what is wanted of machines.
 
 use super::{
-    Machine, Mute, News, cut_off, many_mute, mute, newest_word, orders, reported_state, sent_to,
-    sick,
+    HeartbeatOutcome, InboundPartition, WorkerState, commands, inbound_partition, isolated,
+    many_inbound_partitions, newest_heartbeat, quarantined, reported_state, sent_to,
 };
-use crate::autoscaler::model::{Host, HostState};
-use crate::autoscaler::{UP_MAX, UP_TOLD, give_up, put_host};
-use crate::controller::{First, Node};
-use crate::ids::HostId;
+use crate::autoscaler::model::{MachineRecord, MachineState};
+use crate::autoscaler::{UP_MAX, UP_TOLD, declare_dead, put_machine};
+use crate::controller::{Controller, StartupMilestone};
+use crate::ids::MachineId;
 use crate::jobs::model::JobId;
-use crate::membership::{UP_MOST, part_of};
-use crate::store::client::Outcome;
-use crate::store::cluster_state::View;
+use crate::membership::{READY_MOST, shard_of};
+use crate::store::client::TransactionOutcome;
+use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
 use crate::time::{Micros, SECOND, to_secs, wall};
-use crate::wire::server::Reply;
-use crate::wire::state::Txn;
-use crate::wire::worker::{ORDERS, Order, Orders, Redirect, Report, TaskStatus};
+use crate::wire::server::Response;
+use crate::wire::state::Transaction;
+use crate::wire::worker::{Command, CommandBatch, Heartbeat, LeaderRedirect, ORDERS, TaskStatus};
 use crate::wire::{WireError, decode, encode};
 use foldhash::{HashMap, HashSet};
 use http_types::Method;
@@ -64,7 +64,7 @@
     /// Not before.
     until: Micros,
     /// On which machines.
-    hosts: HashSet<HostId>,
+    machines: HashSet<MachineId>,
 }
 
 /// A machine that was sent to another controller.
@@ -76,12 +76,12 @@
 
 /// The machines of our parts, as their reports show them.
 #[derive(Default)]
-pub struct Fleet {
-    machines: RefCell<BTreeMap<HostId, Machine>>,
+pub struct WorkerRegistry {
+    machines: RefCell<BTreeMap<MachineId, WorkerState>>,
     /// Machines to look at in the next pass.
-    dirty: RefCell<HashSet<HostId>>,
+    changed: RefCell<HashSet<MachineId>>,
     /// Machines with a write of their key under way.
-    busy_hosts: RefCell<HashSet<HostId>>,
+    machines_being_written: RefCell<HashSet<MachineId>>,
     /// Jobs whose tasks fail.
     failing: RefCell<HashMap<JobId, Failing>>,
     /// Durations of finished tasks, by job: image fetch and run.
@@ -90,16 +90,16 @@
     /// After which silence machines with replicas are called.
     call_every: Cell<Micros>,
     /// When a machine that had answered before went without an answer.
-    alarm: Cell<Micros>,
+    last_probe_failure: Cell<Micros>,
     /// Machines that are not as they should be: looked at each second until they are.
-    restless: RefCell<HashSet<HostId>>,
+    unsettled: RefCell<HashSet<MachineId>>,
     /// Writes that gave machines up: each has a name of its own.
     marks: Cell<u64>,
 }
 
-impl Fleet {
+impl WorkerRegistry {
     /// The machines. Not to be held over an await.
-    pub fn machines(&self) -> Ref<'_, BTreeMap<HostId, Machine>> {
+    pub fn machines(&self) -> Ref<'_, BTreeMap<MachineId, WorkerState>> {
         self.machines.borrow()
     }
     /// Durations of finished tasks, by job.
@@ -107,15 +107,15 @@
         self.durations.borrow()
     }
     /// Machines of which something was heard since this was asked last.
-    pub fn take_dirty(&self) -> HashSet<HostId> {
-        self.dirty.take()
+    pub fn take_changed(&self) -> HashSet<MachineId> {
+        self.changed.take()
     }
     /// Machines that are not as they should be, or of which nothing was heard for a while: what follows
     /// from the others was seen when something was heard of them, or written about them.
-    pub fn restless(&self, quiet: Micros, now: Micros) -> HashSet<HostId> {
-        let mut out = self.restless.borrow().clone();
+    pub fn unsettled(&self, quiet: Micros, now: Micros) -> HashSet<MachineId> {
+        let mut out = self.unsettled.borrow().clone();
         let machines = self.machines.borrow();
-        let silent = |m: &Machine| now.saturating_sub(m.heard) > quiet;
+        let silent = |m: &WorkerState| now.saturating_sub(m.heard) > quiet;
         let list = machines.iter().filter(|(_, m)| !m.fenced() || silent(m));
         out.extend(list.map(|(id, _)| id.clone()));
         out
@@ -123,7 +123,7 @@
     /// After which silence machines with replicas are called.
     fn call_every(&self, now: Micros) -> Micros {
         let usual = self.call_every.get();
-        if now.saturating_sub(self.alarm.get()) < ALARM {
+        if now.saturating_sub(self.last_probe_failure.get()) < ALARM {
             return usual.min(CALL);
         }
         usual
@@ -143,10 +143,10 @@
             .collect()
     }
     /// Notes that a machine was sent to another controller.
-    fn redirect(&self, host: &str, to: &str, now: Micros) {
+    fn redirect(&self, machine: &str, to: &str, now: Micros) {
         let mut red = self.redirected.borrow_mut();
         red.retain(|_, r| now.saturating_sub(r.at) < 15 * SECOND);
-        let r = red.entry(host.to_string()).or_insert(Redirected {
+        let r = red.entry(machine.to_string()).or_insert(Redirected {
             to: to.to_string(),
             at: now,
             times: 0,
@@ -160,47 +160,47 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// Answers a report.
-    pub fn on_report(self: &Node, body: &[u8]) -> Reply {
-        let r: Report = match decode(body) {
+    pub fn on_heartbeat(self: &Controller, body: &[u8]) -> Response {
+        let r: Heartbeat = match decode(body) {
             Ok(r) => r,
             Err(e) => {
                 tracing::debug!("report: {e}");
-                return Reply::status(400);
+                return Response::status(400);
             }
         };
-        if !self.feed.loaded() {
-            return Reply::status(503);
+        if !self.watch_cache.loaded() {
+            return Response::status(503);
         }
         let now = self.clock.now();
-        let host: HostId = r.deckhand.as_str().into();
-        let part = part_of(&host);
-        let view = self.feed.view();
-        let Some(term) = self.term(&view, part) else {
-            return self.redirect(&view, part, &r, now);
+        let machine: MachineId = r.machine.as_str().into();
+        let shard = shard_of(&machine);
+        let view = self.watch_cache.view();
+        let Some(term) = self.term(&view, shard) else {
+            return self.redirect(&view, shard, &r, now);
         };
-        let (lease, cancel) = (self.settings.lease, self.settings.cancel);
-        if !may_answer(lease, cancel, self.informed(), now) {
-            return Reply::status(503);
+        let (lease, cancel) = (self.settings.worker_lease, self.settings.cancel_within);
+        if !may_answer(lease, cancel, self.cancellation_watermark(), now) {
+            return Response::status(503);
         }
-        if r.baton > term {
+        if r.fencing_token > term {
             // Someone newer drives this machine; our view is behind.
-            return Reply::status(503);
+            return Response::status(503);
         }
-        let mut machines = self.fleet.machines.borrow_mut();
+        let mut machines = self.workers.machines.borrow_mut();
         let m = machines
-            .entry(host.clone())
-            .or_insert_with(|| Machine::new(term, now));
+            .entry(machine.clone())
+            .or_insert_with(|| WorkerState::new(term, now));
         if m.term != term {
-            *m = Machine::new(term, now);
+            *m = WorkerState::new(term, now);
         }
-        let newer = (r.shift, r.tick) > (m.session, m.tick);
+        let newer = (r.session, r.sequence) > (m.session, m.tick);
         let news = m.take(&r, false, now);
         m.answered = Some(now);
         // Most reports say what the one before said, and nothing was written about the machine since.
-        let list = if newer && (!m.rests || view.touched.contains(&host)) {
-            let mut l = orders(&view, &host, m, true);
+        let list = if newer && (!m.rests || view.changed_machines.contains(&machine)) {
+            let mut l = commands(&view, &machine, m, true);
             m.rests = l.is_empty();
             l.truncate(PER_ANSWER);
             l
@@ -209,41 +209,41 @@
         };
         drop(machines);
         let changed = news.changed;
-        self.learn(&host, news, now);
-        self.first(First::Report);
+        self.learn(&machine, news, now);
+        self.first(StartupMilestone::Heartbeat);
         self.first_start(&list);
-        if changed || !view.hosts.contains_key(&host) {
-            self.fleet.dirty.borrow_mut().insert(host);
-            self.feed.bell().ring();
+        if changed || !view.machines.contains_key(&machine) {
+            self.workers.changed.borrow_mut().insert(machine);
+            self.watch_cache.notifier().notify();
         }
-        Reply::with(
+        Response::with(
             200,
-            &Orders {
-                baton: term,
-                shift: None,
-                orders: list,
+            &CommandBatch {
+                fencing_token: term,
+                session: None,
+                commands: list,
             },
         )
     }
 
-    fn redirect(&self, view: &View, part: u32, r: &Report, now: Micros) -> Reply {
-        let Some(to) = sent_to(view, self.me(), part, r.baton) else {
-            return Reply::status(503);
+    fn redirect(&self, view: &ClusterState, shard: u32, r: &Heartbeat, now: Micros) -> Response {
+        let Some(to) = sent_to(view, self.me(), shard, r.fencing_token) else {
+            return Response::status(503);
         };
-        self.fleet.redirect(&r.deckhand, to, now);
-        Reply::with(
+        self.workers.redirect(&r.machine, to, now);
+        Response::with(
             421,
-            &Redirect {
-                foreman: Some(to.to_string()),
+            &LeaderRedirect {
+                report_to: Some(to.to_string()),
             },
         )
     }
 
     /// What a report brought, for fairness and for backing off.
-    fn learn(&self, host: &HostId, news: News, now: Micros) {
+    fn learn(&self, machine: &MachineId, news: HeartbeatOutcome, now: Micros) {
         if !news.finished.is_empty() {
-            let mut d = self.fleet.durations.borrow_mut();
-            let mut failing = self.fleet.failing.borrow_mut();
+            let mut d = self.workers.durations.borrow_mut();
+            let mut failing = self.workers.failing.borrow_mut();
             for f in news.finished {
                 failing.remove(&f.job);
                 let list = d.entry(f.job).or_default();
@@ -256,15 +256,15 @@
             // With dozens of faulty machines every job fails on several of them. A job whose tasks
             // complete, or run on, elsewhere is not at fault: it is not held back, and its failures
             // speak against the machine.
-            if self.sound(&job, host, now) {
-                self.fleet.failing.borrow_mut().remove(&job);
+            if self.sound(&job, machine, now) {
+                self.workers.failing.borrow_mut().remove(&job);
                 continue;
             }
-            let mut failing = self.fleet.failing.borrow_mut();
+            let mut failing = self.workers.failing.borrow_mut();
             let f = failing.entry(job).or_default();
-            f.hosts.insert(host.clone());
+            f.machines.insert(machine.clone());
             // One bad machine says little about the job: back off once it fails on others too.
-            if f.hosts.len() > 1 {
+            if f.machines.len() > 1 {
                 f.count += 1;
                 let wait = (BACK_OFF << f.count.min(10)).min(BACK_OFF_MAX);
                 f.until = now + wait;
@@ -273,11 +273,16 @@
     }
 
     /// Whether a job's tasks are known to work on some machine other than this one.
-    fn sound(&self, job: &JobId, host: &HostId, now: Micros) -> bool {
-        self.fleet.durations.borrow().contains_key(job)
-            || self.feed.view().jobs.get(job).is_some_and(|j| j.done > 0)
-            || self.fleet.machines.borrow().iter().any(|(id, m)| {
-                id != host
+    fn sound(&self, job: &JobId, machine: &MachineId, now: Micros) -> bool {
+        self.workers.durations.borrow().contains_key(job)
+            || self
+                .watch_cache
+                .view()
+                .jobs
+                .get(job)
+                .is_some_and(|j| j.done > 0)
+            || self.workers.machines.borrow().iter().any(|(id, m)| {
+                id != machine
                     && m.tasks.iter().any(|((j, _), s)| {
                         j == job
                             && s.status == TaskStatus::Running
@@ -287,12 +292,12 @@
     }
 
     /// Keeps an entry for every machine of our parts, under the current term.
-    pub fn adopt_machines(&self, view: &View, terms: &[Option<u64>], now: Micros) {
-        let mut machines = self.fleet.machines.borrow_mut();
-        let term = |id: &str| terms[part_of(id) as usize];
+    pub fn adopt_machines(&self, view: &ClusterState, terms: &[Option<u64>], now: Micros) {
+        let mut machines = self.workers.machines.borrow_mut();
+        let term = |id: &str| terms[shard_of(id) as usize];
         machines.retain(|id, m| {
             let keep = term(id) == Some(m.term)
-                && (view.hosts.contains_key(id)
+                && (view.machines.contains_key(id)
                     || view.tasks_on(id).is_some()
                     || now.saturating_sub(m.heard) < 60 * SECOND);
             if let Some(a) = m.addr.filter(|_| !keep) {
@@ -300,162 +305,180 @@
             }
             keep
         });
-        for id in view.hosts.keys().chain(view.on_host.keys()) {
+        for id in view.machines.keys().chain(view.tasks_by_machine.keys()) {
             if machines.contains_key(id) {
                 continue;
             }
             if let Some(term) = term(id) {
-                let mut m = Machine::new(term, now);
-                if let Some(h) = view.hosts.get(id) {
-                    m.addr = h.addr.as_ref().and_then(|a| a.parse().ok());
+                let mut m = WorkerState::new(term, now);
+                if let Some(h) = view.machines.get(id) {
+                    m.addr = h.address.as_ref().and_then(|a| a.parse().ok());
                 }
                 machines.insert(id.clone(), m);
-                self.fleet.dirty.borrow_mut().insert(id.clone());
+                self.workers.changed.borrow_mut().insert(id.clone());
             }
         }
         let n = machines.keys().filter(|id| replicas(view, id)).count();
-        let every = call_every(n, self.settings.core_share, self.settings.report);
-        self.fleet.call_every.set(every);
-        let stuck = machines.iter().filter(|(_, m)| {
-            m.stuck()
-                && now.saturating_sub(m.heard) < self.settings.report * 2
+        let every = call_every(
+            n,
+            self.settings.core_share,
+            self.settings.heartbeat_interval,
+        );
+        self.workers.call_every.set(every);
+        let blocked_by_unacknowledged_start = machines.iter().filter(|(_, m)| {
+            m.blocked_by_unacknowledged_start()
+                && now.saturating_sub(m.heard) < self.settings.heartbeat_interval * 2
                 && now.saturating_sub(m.probe_failed) > STUCK
         });
-        self.members.raise_terms(stuck.map(|(id, _)| part_of(id)));
-        let mut failing = self.fleet.failing.borrow_mut();
+        self.membership
+            .raise_terms(blocked_by_unacknowledged_start.map(|(id, _)| shard_of(id)));
+        let mut failing = self.workers.failing.borrow_mut();
         failing.retain(|j, _| view.jobs.contains_key(j));
-        let mut d = self.fleet.durations.borrow_mut();
+        let mut d = self.workers.durations.borrow_mut();
         d.retain(|j, _| view.jobs.contains_key(j));
     }
 
     /// What the owner of a machine wants its key to say.
-    fn wanted_host(
+    fn desired_record(
         &self,
-        id: &HostId,
-        m: &Machine,
-        have: Option<&Host>,
+        id: &MachineId,
+        m: &WorkerState,
+        have: Option<&MachineRecord>,
         now: Micros,
-        (alone, many_mute): (bool, bool),
-    ) -> Option<Host> {
+        (alone, many_inbound_partitions): (bool, bool),
+    ) -> Option<MachineRecord> {
         let Some(h) = have else {
             // Unexpected machines are used: they are paid for. The leader finds them in the cloud's
             // list, many with one write; this is for those that the list does not show.
             let (kind, zone, spot, addr) = m.about.clone()?;
             // A key that was deleted belonged to a machine that was returned and is gone, however
             // lately it was heard: written again, it would get tasks that never start.
-            let returned = self.feed.view().deleted(&keys::host(id));
+            let returned = self.watch_cache.view().deleted(&keys::machine(id));
             let known = m.fenced.is_some_and(|f| now.saturating_sub(f) > UP_MAX);
             if returned
                 || !m.fenced()
                 || !known
-                || now.saturating_sub(m.heard) > self.settings.report
+                || now.saturating_sub(m.heard) > self.settings.heartbeat_interval
             {
                 return None;
             }
-            return Some(Host {
-                kind,
+            return Some(MachineRecord {
+                machine_type: kind,
                 zone,
                 spot,
-                addr: Some(addr),
+                address: Some(addr),
                 session: m.session,
-                state: HostState::Up,
-                rented: wall(),
+                state: MachineState::Up,
+                rented_at: wall(),
             });
         };
         let mut w = h.clone();
-        if matches!(h.state, HostState::Lost | HostState::Returning) {
+        if matches!(h.state, MachineState::Lost | MachineState::Returning) {
             return None;
         }
         if m.fenced() {
             w.session = w.session.max(m.session);
             if let Some((_, _, _, addr)) = &m.about {
-                w.addr = Some(addr.clone());
+                w.address = Some(addr.clone());
             }
-            let mute = mute(m, many_mute, self.settings.lease, now);
-            if mute == Mute::Gone {
+            let inbound_partition =
+                inbound_partition(m, many_inbound_partitions, self.settings.worker_lease, now);
+            if inbound_partition == InboundPartition::Replace {
                 let silent = now.saturating_sub(m.reported);
                 tracing::info!(machine = %id, silent, "reports to nobody: given up");
             }
-            w.state = reported_state(m, w.state, mute);
-            let failing = self.fleet.failing.borrow();
+            w.state = reported_state(m, w.state, inbound_partition);
+            let failing = self.workers.failing.borrow();
             let elsewhere = |j: &str| {
                 failing
                     .get(j)
-                    .is_some_and(|f| f.hosts.iter().any(|x| x != id))
+                    .is_some_and(|f| f.machines.iter().any(|x| x != id))
             };
-            if matches!(w.state, HostState::Up) && sick(m, &elsewhere) {
+            if matches!(w.state, MachineState::Up) && quarantined(m, &elsewhere) {
                 tracing::info!(machine = %id, "fails its tasks");
-                w.state = HostState::Sick;
+                w.state = MachineState::Quarantined;
             }
         }
-        let has_tasks = self.feed.view().tasks_on(id).is_some();
+        let has_tasks = self.watch_cache.view().tasks_on(id).is_some();
         if m.lost(w.state, has_tasks, (self.policy.lost_after, now, alone)) {
             let silent = now.saturating_sub(m.heard);
             tracing::info!(machine = %id, silent, "silent: given up");
-            w.state = HostState::Lost;
+            w.state = MachineState::Lost;
         }
         (w != *h).then_some(w)
     }
 
     /// Whether it is us whom the machines cannot reach, rather than single machines that died.
-    pub fn alone(&self, view: &View, now: Micros) -> bool {
-        let up = |id: &HostId| {
-            view.hosts.get(id).is_some_and(|h| {
+    pub fn alone(&self, view: &ClusterState, now: Micros) -> bool {
+        let up = |id: &MachineId| {
+            view.machines.get(id).is_some_and(|h| {
                 !matches!(
                     h.state,
-                    HostState::Booting | HostState::Lost | HostState::Returning
+                    MachineState::Booting | MachineState::Lost | MachineState::Returning
                 )
             })
         };
-        cut_off(&self.fleet.machines(), &up, self.settings.report, now)
+        isolated(
+            &self.workers.machines(),
+            &up,
+            self.settings.heartbeat_interval,
+            now,
+        )
     }
 
     /// Writes the difference between wanted and known machines.
-    pub fn write_hosts(self: &Rc<Node>, now: Micros) {
-        if !self.feed.current() {
+    pub fn write_machine_records(self: &Rc<Controller>, now: Micros) {
+        if !self.watch_cache.current() {
             return;
         }
-        let mut t = Txn::default();
+        let mut t = Transaction::default();
         let mut ids = Vec::new();
         let mut lost = Vec::new();
         {
-            let view = self.feed.view();
+            let view = self.watch_cache.view();
             // So many are given up with one write, once every controller reads it.
-            let most = self.limits().layout.then(|| self.per_charter());
+            let most = self
+                .limits()
+                .newer_layout
+                .then(|| self.machines_per_request());
             let alone = self.alone(&view, now);
-            let machines = self.fleet.machines.borrow();
-            let many_mute = many_mute(&machines);
-            let (level, burst) = self.feed.client().write_level();
+            let machines = self.workers.machines.borrow();
+            let many_inbound_partitions = many_inbound_partitions(&machines);
+            let (level, burst) = self.watch_cache.client().write_level();
             let spare = level > burst / 2.0;
             let debt = level <= 0.0;
-            let ops = self.state_limits().txn_ops;
+            let ops = self.state_limits().max_mutations;
             let mut ups = 0;
             // An older controller, and one who hears only of some, would take them for late.
-            let boots = |id: &HostId| {
-                let h = view.hosts.get(id);
-                h.is_some_and(|h| h.state == HostState::Booting)
+            let boots = |id: &MachineId| {
+                let h = view.machines.get(id);
+                h.is_some_and(|h| h.state == MachineState::Booting)
             };
             let untold = machines.keys().filter(|id| boots(id)).count();
-            let wait = match view.layout.is_some() && untold <= UP_MOST {
+            let wait = match view.layout.is_some() && untold <= READY_MOST {
                 true => UP_TOLD,
                 false => UP_MAX,
             };
-            let busy = self.fleet.busy_hosts.borrow();
+            let busy = self.workers.machines_being_written.borrow();
             for (id, m) in machines.iter() {
-                if busy.contains(id) || t.then.len() >= ops || most.is_some_and(|n| lost.len() >= n)
+                if busy.contains(id)
+                    || t.mutations.len() >= ops
+                    || most.is_some_and(|n| lost.len() >= n)
                 {
                     continue;
                 }
-                let have = view.hosts.get(id);
-                if let Some(w) = self.wanted_host(id, m, have, now, (alone, many_mute)) {
-                    if w.state == HostState::Lost && have.is_some() && most.is_some() {
+                let have = view.machines.get(id);
+                if let Some(w) =
+                    self.desired_record(id, m, have, now, (alone, many_inbound_partitions))
+                {
+                    if w.state == MachineState::Lost && have.is_some() && most.is_some() {
                         lost.push(id.clone());
                         continue;
                     }
                     // That a machine is up its owner knows without a write, and tells the peers; it
                     // can wait until writes are to spare.
                     let fresh = m.fenced.is_some_and(|f| now.saturating_sub(f) < wait);
-                    if have.is_some() && w.state == HostState::Up {
+                    if have.is_some() && w.state == MachineState::Up {
                         // Never put off for good: what is written as booting is not counted on, and
                         // is taken for one that does not come up.
                         let due = if debt {
@@ -468,21 +491,21 @@
                         }
                         ups += 1;
                     }
-                    let part = keys::part(part_of(id));
-                    put_host(&mut t, &view, id, &w);
-                    if !t.guards.iter().any(|g| g.path == part) {
-                        t.guards.push(view.guard(part));
+                    let shard = keys::shard(shard_of(id));
+                    put_machine(&mut t, &view, id, &w);
+                    if !t.preconditions.iter().any(|g| g.key == shard) {
+                        t.preconditions.push(view.precondition(shard));
                     }
                     ids.push(id.clone());
                 }
             }
         }
         if !lost.is_empty() {
-            let n = self.fleet.marks.get() + 1;
-            self.fleet.marks.set(n);
-            let lease = self.members.lease().unwrap_or(0);
+            let n = self.workers.marks.get() + 1;
+            self.workers.marks.set(n);
+            let lease = self.membership.lease().unwrap_or(0);
             let name = format!("{}-{lease}-lost-{n}", self.me());
-            let t = give_up(&self.feed.view(), &name, lost.clone());
+            let t = declare_dead(&self.watch_cache.view(), &name, lost.clone());
             self.write_marks(t, lost);
         }
         if !ids.is_empty() {
@@ -491,37 +514,37 @@
     }
 
     /// Carries out a write about machines that nothing else is written about meanwhile.
-    fn write_marks(self: &Rc<Node>, t: Txn, ids: Vec<HostId>) {
-        self.fleet
-            .busy_hosts
+    fn write_marks(self: &Rc<Controller>, t: Transaction, ids: Vec<MachineId>) {
+        self.workers
+            .machines_being_written
             .borrow_mut()
             .extend(ids.iter().cloned());
         let n = self.clone();
-        self.ex
+        self.executor
             .spawn(async move {
-                match n.feed.txn(&t).await {
-                    Outcome::Done(_) => {}
-                    Outcome::Refused(_) => n.sleep(SECOND / 4).await,
+                match n.watch_cache.transaction(&t).await {
+                    TransactionOutcome::Done(_) => {}
+                    TransactionOutcome::Refused(_) => n.sleep(SECOND / 4).await,
                     _ => {
-                        n.feed.barrier().await;
+                        n.watch_cache.linearizable_read().await;
                     }
                 }
-                let mut busy = n.fleet.busy_hosts.borrow_mut();
+                let mut busy = n.workers.machines_being_written.borrow_mut();
                 for id in &ids {
                     busy.remove(id);
                 }
                 drop(busy);
-                n.feed.bell().ring();
+                n.watch_cache.notifier().notify();
             })
             .detach();
     }
 
     /// Machines to which nothing happened and that are to be called all the same: silent for too
     /// long, not fenced yet, or put off after a call that failed.
-    pub fn overdue(&self, now: Micros, dirty: &mut HashSet<HostId>) {
-        let view = self.feed.view();
-        let mut machines = self.fleet.machines.borrow_mut();
-        let call_every = self.fleet.call_every(now);
+    pub fn overdue(&self, now: Micros, changed: &mut HashSet<MachineId>) {
+        let view = self.watch_cache.view();
+        let mut machines = self.workers.machines.borrow_mut();
+        let call_every = self.workers.call_every(now);
         for (id, m) in machines.iter_mut() {
             if m.busy || now < m.not_before {
                 continue;
@@ -532,34 +555,34 @@
                 || self.quiet(silent)
                 || (silent > call_every && replicas(&view, id))
             {
-                dirty.insert(id.clone());
+                changed.insert(id.clone());
             }
         }
     }
 
-    fn first_start(&self, list: &[Order]) {
-        if list.iter().any(|o| matches!(o, Order::Start { .. })) {
-            self.first(First::Start);
+    fn first_start(&self, list: &[Command]) {
+        if list.iter().any(|o| matches!(o, Command::Start { .. })) {
+            self.first(StartupMilestone::Start);
         }
     }
 
     /// Whether a machine has been silent for longer than between two reports.
     fn quiet(&self, silent: Micros) -> bool {
-        silent > self.settings.report * 5 / 4 + SECOND / 4
+        silent > self.settings.heartbeat_interval * 5 / 4 + SECOND / 4
     }
 
     /// Sends direct orders where something is to do, and the bare token where it is not known yet.
     /// `only`: these machines; all of them otherwise.
-    pub fn drive(self: &Rc<Node>, now: Micros, only: Option<&HashSet<HostId>>) {
-        let view = self.feed.view();
-        let mut machines = self.fleet.machines.borrow_mut();
-        let heard = newest_word(&machines);
-        let calls = self.fleet.call_every(now);
-        let mut restless = self.fleet.restless.borrow_mut();
+    pub fn drive(self: &Rc<Controller>, now: Micros, only: Option<&HashSet<MachineId>>) {
+        let view = self.watch_cache.view();
+        let mut machines = self.workers.machines.borrow_mut();
+        let heard = newest_heartbeat(&machines);
+        let calls = self.workers.call_every(now);
+        let mut unsettled = self.workers.unsettled.borrow_mut();
         if only.is_none() {
-            restless.clear();
+            unsettled.clear();
         }
-        let all: Vec<HostId> = match only {
+        let all: Vec<MachineId> = match only {
             Some(d) => d.iter().cloned().collect(),
             None => machines.keys().cloned().collect(),
         };
@@ -573,13 +596,13 @@
             };
             m.rests = false;
             m.passed_over = m.busy;
-            let Some(h) = view.hosts.get(id) else {
+            let Some(h) = view.machines.get(id) else {
                 continue;
             };
             let Some(addr) = m.addr.filter(|_| !m.busy && now >= m.not_before) else {
                 continue;
             };
-            if matches!(h.state, HostState::Booting) {
+            if matches!(h.state, MachineState::Booting) {
                 continue;
             }
             let session = if m.session > 0 { m.session } else { h.session };
@@ -587,16 +610,16 @@
                 let silent = now.saturating_sub(m.heard);
                 let quiet = self.quiet(silent);
                 let call = quiet || (silent > calls && replicas(&view, id));
-                let mut l = orders(&view, id, m, false);
+                let mut l = commands(&view, id, m, false);
                 if l.is_empty() {
-                    restless.remove(id);
+                    unsettled.remove(id);
                 } else {
-                    restless.insert(id.clone());
+                    unsettled.insert(id.clone());
                 }
                 if quiet || (m.probe_failed > 0 && now.saturating_sub(m.probe_failed) < UNSURE) {
                     // It may be gone. A start would only become one more that may run late; a
                     // stop may end a cancelled task there, and the answer tells that it lives.
-                    l.retain(|o| !matches!(o, Order::Start { .. }));
+                    l.retain(|o| !matches!(o, Command::Start { .. }));
                 }
                 l.retain(|o| !m.recent(o, now, REPEAT));
                 l.truncate(PER_ANSWER);
@@ -609,7 +632,7 @@
             };
             if calls_left == 0 {
                 // The next pass goes on with it.
-                self.fleet.dirty.borrow_mut().insert(id.clone());
+                self.workers.changed.borrow_mut().insert(id.clone());
                 continue;
             }
             calls_left -= 1;
@@ -620,7 +643,7 @@
             let n = self.clone();
             let id = id.clone();
             let term = m.term;
-            self.ex
+            self.executor
                 .spawn(async move {
                     n.direct(id, addr, (term, session), heard, list).await;
                 })
@@ -629,17 +652,17 @@
     }
 
     async fn direct(
-        self: Rc<Node>,
-        id: HostId,
+        self: Rc<Controller>,
+        id: MachineId,
         addr: std::net::SocketAddr,
         (term, session): (u64, u64),
         heard: Micros,
-        list: Vec<Order>,
+        list: Vec<Command>,
     ) {
-        let body = encode(&Orders {
-            baton: term,
-            shift: Some(session),
-            orders: list.clone(),
+        let body = encode(&CommandBatch {
+            fencing_token: term,
+            session: Some(session),
+            commands: list.clone(),
         });
         let res = self
             .http
@@ -652,7 +675,7 @@
             )
             .await;
         let now = self.clock.now();
-        let mut machines = self.fleet.machines.borrow_mut();
+        let mut machines = self.workers.machines.borrow_mut();
         let Some(m) = machines.get_mut(&id).filter(|m| m.term == term) else {
             return;
         };
@@ -664,11 +687,11 @@
                 if a.status == 409 {
                     m.not_before = now + SECOND / 2;
                 }
-                match decode::<Report>(&a.body) {
-                    Ok(r) if *r.deckhand == *id => {
+                match decode::<Heartbeat>(&a.body) {
+                    Ok(r) if *r.machine == *id => {
                         m.answered_direct(&list);
                         let news = m.take(&r, true, now);
-                        m.answered_call(self.settings.report, now);
+                        m.answered_call(self.settings.heartbeat_interval, now);
                         look = news.changed || !list.is_empty() || !m.fenced() || m.passed_over;
                         drop(machines);
                         self.learn(&id, news, now);
@@ -689,9 +712,9 @@
                     tracing::debug!(machine = %id, "orders: {e}");
                 }
                 m.not_before = now + SECOND / 4;
-                let alarm = &self.fleet.alarm;
-                if m.missed == 0 && now.saturating_sub(alarm.get()) > ALARM_AGAIN {
-                    alarm.set(now);
+                let last_probe_failure = &self.workers.last_probe_failure;
+                if m.missed == 0 && now.saturating_sub(last_probe_failure.get()) > ALARM_AGAIN {
+                    last_probe_failure.set(now);
                 }
                 m.miss(heard, now);
                 drop(machines);
@@ -699,23 +722,28 @@
             }
         }
         if look {
-            self.fleet.dirty.borrow_mut().insert(id);
-            self.feed.bell().ring();
+            self.workers.changed.borrow_mut().insert(id);
+            self.watch_cache.notifier().notify();
         }
     }
 }
 
-/// Whether workers may still be kept alive by us, who know of every cancellation up to `informed`. The
+/// Whether workers may still be kept alive by us, who know of every cancellation up to `cancellation_watermark`. The
 /// tasks of any later one must be gone `cancel` after it was told, and live for `lease` after our last
 /// answer. There is no exception: that the state service is away for all now does not mean that it was
 /// when somebody last confirmed a cancellation.
-pub fn may_answer(lease: Micros, cancel: Micros, informed: Micros, now: Micros) -> bool {
-    now.saturating_sub(informed) + lease + lease / 1000 + MARGIN < cancel
+pub fn may_answer(
+    lease: Micros,
+    cancel: Micros,
+    cancellation_watermark: Micros,
+    now: Micros,
+) -> bool {
+    now.saturating_sub(cancellation_watermark) + lease + lease / 1000 + MARGIN < cancel
 }
 
 /// Whether replicas run on a machine.
-fn replicas(view: &View, id: &HostId) -> bool {
-    view.load(id).services > 0
+fn replicas(view: &ClusterState, id: &MachineId) -> bool {
+    view.usage(id).services > 0
 }
 
 /// After which silence machines with replicas are called: so that the calls divide the time between two
--- a/src/workers/drive/tests.rs
+++ b/src/workers/drive/tests.rs
@@ -16,11 +16,11 @@
 /// While one machine after the other goes without an answer, the others are not left to wait.
 #[test]
 fn after_a_call_without_an_answer_all_are_called_soon() {
-    let f = Fleet::default();
+    let f = WorkerRegistry::default();
     f.call_every.set(5 * SECOND / 2);
     let now = 100 * SECOND;
     assert_eq!(f.call_every(now), 5 * SECOND / 2);
-    f.alarm.set(now);
+    f.last_probe_failure.set(now);
     assert_eq!(f.call_every(now + SECOND), CALL);
     assert_eq!(f.call_every(now + ALARM), 5 * SECOND / 2);
 }
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -5,36 +5,36 @@
 
 mod drive;
 
-pub use drive::{Fleet, may_answer};
+pub use drive::{WorkerRegistry, may_answer};
 
-use crate::autoscaler::model::HostState;
-use crate::ids::HostId;
-use crate::jobs::commit::Intent;
+use crate::autoscaler::model::MachineState;
+use crate::ids::MachineId;
+use crate::jobs::commit::JobChange;
 use crate::jobs::model::{JobId, Placement, parse_task, task_name};
-use crate::store::cluster_state::View;
+use crate::store::cluster_state::ClusterState;
 use crate::time::{Micros, SECOND, from_secs, to_secs};
-use crate::wire::user::Shape;
-use crate::wire::worker::{Cause, Order, Report, TaskReport, TaskStatus};
+use crate::wire::user::JobKind;
+use crate::wire::worker::{Command, ExitReason, Heartbeat, ReportedTask, TaskStatus};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// So many calls answered without a report in between are no chance: a worker that finds no controller at its
 /// first try has asked all of them by then.
-const MUTE_CALLS: u32 = 3;
+const PARTITION_PROBES: u32 = 3;
 
 /// An attempt of a task.
-pub type Attempt = (JobId, u32, u32);
+pub type TaskAttempt = (JobId, u32, u32);
 
 /// A task as last reported.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ObservedTask {
     /// Attempt.
     pub attempt: u32,
     /// State.
     pub status: TaskStatus,
     /// Why it exited.
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitReason>,
     /// Since when it is in this state, by our clock.
     pub since: Micros,
     /// How long the fetch took.
@@ -43,7 +43,7 @@
 
 /// A machine as its owner knows it, under one token.
 #[derive(Debug)]
-pub struct Machine {
+pub struct WorkerState {
     /// Our token.
     pub term: u64,
     /// Where its worker listens.
@@ -71,13 +71,13 @@
     /// Time left until the cloud takes it, and when that was said.
     pub notice: Option<Micros>,
     /// Tasks in the newest message.
-    pub tasks: BTreeMap<(JobId, u32), Seen>,
+    pub tasks: BTreeMap<(JobId, u32), ObservedTask>,
     /// Names in reports that are no task names; nothing is done about them.
     pub odd: usize,
     /// Starts given in the answer to a report: the report's number.
-    in_response: HashMap<Attempt, u64>,
+    in_response: HashMap<TaskAttempt, u64>,
     /// Direct starts without an answer.
-    unanswered: HashSet<Attempt>,
+    unanswered: HashSet<TaskAttempt>,
     /// Whether direct orders are under way.
     pub busy: bool,
     /// Not before this time: direct orders failed.
@@ -96,9 +96,9 @@
     /// What the machine is.
     pub about: Option<(String, String, bool, String)>,
     /// Exits already counted.
-    counted: HashSet<Attempt>,
+    counted: HashSet<TaskAttempt>,
     /// Direct orders sent lately.
-    lately: Vec<(Micros, Order)>,
+    recent_commands: Vec<(Micros, Command)>,
     /// Something changed while direct orders were under way: it is looked at once they are answered.
     pub passed_over: bool,
     /// Nothing was to be ordered in the answer to the newest report, and nothing has changed since.
@@ -106,7 +106,7 @@
 }
 
 /// A task that finished, for the fairness counts.
-pub struct Finished {
+pub struct FinishedTask {
     /// Job.
     pub job: JobId,
     /// Image fetch and run.
@@ -115,19 +115,19 @@
 
 /// What a report brought.
 #[derive(Default)]
-pub struct News {
+pub struct HeartbeatOutcome {
     /// Whether anything changed.
     pub changed: bool,
     /// Tasks that completed.
-    pub finished: Vec<Finished>,
+    pub finished: Vec<FinishedTask>,
     /// Jobs of which a task failed.
     pub failed: Vec<JobId>,
 }
 
-impl Machine {
+impl WorkerState {
     /// A machine of which nothing was heard under this token.
-    pub fn new(term: u64, now: Micros) -> Machine {
-        Machine {
+    pub fn new(term: u64, now: Micros) -> WorkerState {
+        WorkerState {
             term,
             addr: None,
             session: 0,
@@ -154,15 +154,15 @@
             errors: Vec::new(),
             about: None,
             counted: HashSet::new(),
-            lately: Vec::new(),
+            recent_commands: Vec::new(),
             passed_over: false,
             rests: false,
         }
     }
 
     /// Whether this direct order went out less than `span` ago.
-    pub fn recent(&self, o: &Order, now: Micros, span: Micros) -> bool {
-        self.lately
+    pub fn recent(&self, o: &Command, now: Micros, span: Micros) -> bool {
+        self.recent_commands
             .iter()
             .any(|(at, x)| x == o && now.saturating_sub(*at) < span)
     }
@@ -184,7 +184,7 @@
     /// answer with another machine heard in between, or a silence so long that there is nothing to
     /// wait for, unless it is us who are cut off (`alone`). One call proves nothing: at the start of a
     /// cut each machine misses one before it is known that all do.
-    pub fn given_up(&self, lost_after: Micros, now: Micros, alone: bool) -> bool {
+    pub fn declared_dead(&self, lost_after: Micros, now: Micros, alone: bool) -> bool {
         let silent = now.saturating_sub(self.heard);
         self.dead || (silent > 2 * lost_after && !alone)
     }
@@ -194,32 +194,33 @@
     /// tasks of such machines waited for the end of a cut until their lease ended them.
     pub fn lost(
         &self,
-        state: HostState,
+        state: MachineState,
         has_tasks: bool,
         (lost_after, now, alone): (Micros, Micros, bool),
     ) -> bool {
-        (state != HostState::Booting || has_tasks) && self.given_up(lost_after, now, alone)
+        (state != MachineState::Booting || has_tasks) && self.declared_dead(lost_after, now, alone)
     }
 
     /// Notes direct orders that go out.
-    pub fn note(&mut self, list: &[Order], now: Micros) {
-        self.lately
+    pub fn note(&mut self, list: &[Command], now: Micros) {
+        self.recent_commands
             .retain(|(at, _)| now.saturating_sub(*at) < 5 * SECOND);
-        self.lately.extend(list.iter().map(|o| (now, o.clone())));
+        self.recent_commands
+            .extend(list.iter().map(|o| (now, o.clone())));
     }
 
     /// Forgets direct orders that did not go out after all.
-    pub fn forget(&mut self, list: &[Order]) {
-        self.lately.retain(|(_, o)| !list.contains(o));
+    pub fn forget(&mut self, list: &[Command]) {
+        self.recent_commands.retain(|(_, o)| !list.contains(o));
     }
 
     /// Takes a report in, if it is newer than what is known. `direct`: the answer to direct orders.
-    pub fn take(&mut self, r: &Report, direct: bool, now: Micros) -> News {
-        let mut news = News::default();
-        if (r.shift, r.tick) <= (self.session, self.tick) {
+    pub fn take(&mut self, r: &Heartbeat, direct: bool, now: Micros) -> HeartbeatOutcome {
+        let mut news = HeartbeatOutcome::default();
+        if (r.session, r.sequence) <= (self.session, self.tick) {
             return news;
         }
-        let new_session = r.shift > self.session;
+        let new_session = r.session > self.session;
         if new_session {
             // The worker killed and forgot everything.
             news.changed = true;
@@ -230,19 +231,19 @@
             self.report_tick = 0;
             self.answered = None;
         }
-        self.session = r.shift;
-        self.tick = r.tick;
+        self.session = r.session;
+        self.tick = r.sequence;
         if !direct {
-            self.report_tick = r.tick;
+            self.report_tick = r.sequence;
             self.reported = now;
             self.reports = true;
             self.called = (0, now);
         }
-        if r.baton > self.token {
-            self.token = r.baton;
+        if r.fencing_token > self.token {
+            self.token = r.fencing_token;
             news.changed = true;
         }
-        if r.baton == self.term && (self.fenced.is_none() || new_session) {
+        if r.fencing_token == self.term && (self.fenced.is_none() || new_session) {
             self.fenced = Some(now);
             news.changed = true;
         }
@@ -253,16 +254,21 @@
             self.addr = Some(a);
         }
         if self.about.is_none() {
-            self.about = Some((r.rig.clone(), r.yard.clone(), r.loaners, r.address.clone()));
+            self.about = Some((
+                r.machine_type.clone(),
+                r.zone.clone(),
+                r.spot,
+                r.address.clone(),
+            ));
         }
-        let notice = r.recall_s.map(|s| now + from_secs(s));
+        let notice = r.preemption_notice_s.map(|s| now + from_secs(s));
         if notice.is_some() != self.notice.is_some() {
             news.changed = true;
         }
         self.notice = notice;
         let mut tasks = BTreeMap::new();
         self.odd = 0;
-        for t in &r.shards {
+        for t in &r.tasks {
             let Some((key, seen)) = self.seen(t, now) else {
                 self.odd += 1;
                 continue;
@@ -274,20 +280,20 @@
                 let a = (key.0.clone(), key.1, seen.attempt);
                 if self.counted.insert(a) {
                     match seen.cause {
-                        Some(Cause::Done) => {
+                        Some(ExitReason::Done) => {
                             let run = self
                                 .tasks
                                 .get(&key)
                                 .filter(|o| o.status == TaskStatus::Running)
                                 .map(|o| now - o.since);
                             if let Some(run) = run {
-                                news.finished.push(Finished {
+                                news.finished.push(FinishedTask {
                                     job: key.0.clone(),
                                     phases: [seen.fetched, run],
                                 });
                             }
                         }
-                        Some(Cause::Error) => {
+                        Some(ExitReason::Error) => {
                             news.failed.push(key.0.clone());
                             self.errors.push((now, key.0.clone()));
                         }
@@ -308,8 +314,8 @@
         news
     }
 
-    fn seen(&self, t: &TaskReport, now: Micros) -> Option<((JobId, u32), Seen)> {
-        let (job, index) = parse_task(&t.shard)?;
+    fn seen(&self, t: &ReportedTask, now: Micros) -> Option<((JobId, u32), ObservedTask)> {
+        let (job, index) = parse_task(&t.task)?;
         let attempt = u32::try_from(t.attempt).ok()?;
         let key: (JobId, u32) = (job.into(), index);
         let old = self.tasks.get(&key).filter(|o| o.attempt == attempt);
@@ -323,10 +329,10 @@
         };
         Some((
             key,
-            Seen {
+            ObservedTask {
                 attempt,
                 status: t.status,
-                cause: t.cause,
+                cause: t.reason,
                 since: same.map_or(now, |o| o.since),
                 fetched,
             },
@@ -350,8 +356,8 @@
 
     /// Whether the worker reaches no controller, although calls reach it: its lease will end all that runs there,
     /// again and again, so it is no machine to place work on, and nothing counts it as one that serves.
-    pub fn mute(&self) -> bool {
-        self.fenced() && self.called.0 >= MUTE_CALLS
+    pub fn inbound_partition(&self) -> bool {
+        self.fenced() && self.called.0 >= PARTITION_PROBES
     }
 
     /// It answered a call. A controller that stood still finds all its machines without a report for longer, and
@@ -364,7 +370,7 @@
     }
 
     /// Whether the worker's lease must have ended: nobody can have renewed it since we did.
-    pub fn lease_over(&self, lease: Micros, now: Micros) -> bool {
+    pub fn lease_expired(&self, lease: Micros, now: Micros) -> bool {
         let Some(fenced) = self.fenced.filter(|_| self.fenced()) else {
             return false;
         };
@@ -374,9 +380,12 @@
     }
 
     /// Notes direct starts that go out; until answered they may be executed at any time.
-    pub fn sent(&mut self, orders: &[Order]) {
-        for o in orders {
-            if let Order::Start { shard, attempt } = o
+    pub fn sent(&mut self, commands: &[Command]) {
+        for o in commands {
+            if let Command::Start {
+                task: shard,
+                attempt,
+            } = o
                 && let Some((j, i)) = parse_task(shard)
             {
                 self.unanswered.insert((j.into(), i, *attempt as u32));
@@ -385,9 +394,12 @@
     }
 
     /// Direct orders were answered: executed, or refused as a whole.
-    pub fn answered_direct(&mut self, orders: &[Order]) {
-        for o in orders {
-            if let Order::Start { shard, attempt } = o
+    pub fn answered_direct(&mut self, commands: &[Command]) {
+        for o in commands {
+            if let Command::Start {
+                task: shard,
+                attempt,
+            } = o
                 && let Some((j, i)) = parse_task(shard)
             {
                 self.unanswered.remove(&(j.into(), i, *attempt as u32));
@@ -397,7 +409,7 @@
 
     /// Whether an unanswered direct start keeps an attempt from being cleared, moved or started
     /// again. Only a higher term, seen by the worker, makes such a start impossible.
-    pub fn stuck(&self) -> bool {
+    pub fn blocked_by_unacknowledged_start(&self) -> bool {
         self.fenced()
             && !self.busy
             && self.unanswered.iter().any(|(job, index, attempt)| {
@@ -409,7 +421,7 @@
 }
 
 /// What is wanted of a placement: `None` to run, or to stop with a grace.
-fn stop_of(view: &View, job: &JobId, p: &Placement) -> Option<Micros> {
+fn stop_of(view: &ClusterState, job: &JobId, p: &Placement) -> Option<Micros> {
     match view.jobs.get(job) {
         Some(j) if j.cancelled() => Some(0),
         _ => p.stop,
@@ -418,10 +430,15 @@
 
 /// The orders for a machine. `response`: they go out in the answer to its newest report, the only
 /// place where a `clear` is allowed, because nothing given there is executed late.
-pub fn orders(view: &View, host: &HostId, m: &mut Machine, response: bool) -> Vec<Order> {
+pub fn commands(
+    view: &ClusterState,
+    machine: &MachineId,
+    m: &mut WorkerState,
+    response: bool,
+) -> Vec<Command> {
     let mut out = Vec::new();
     let empty = BTreeMap::new();
-    let placed = view.tasks_on(host).unwrap_or(&empty);
+    let placed = view.tasks_on(machine).unwrap_or(&empty);
     for (key, seen) in &m.tasks {
         let wanted = placed
             .get(key)
@@ -433,16 +450,16 @@
         if seen.status == TaskStatus::Exited {
             // Not before every direct start of it was answered: a late one would start it again.
             if response && m.fenced() && !m.unanswered.contains(&a) {
-                out.push(Order::Clear {
-                    shard: task_name(&key.0, key.1),
+                out.push(Command::Forget {
+                    task: task_name(&key.0, key.1),
                     attempt: u64::from(seen.attempt),
                 });
             }
         } else {
-            out.push(Order::Stop {
-                shard: task_name(&key.0, key.1),
+            out.push(Command::Stop {
+                task: task_name(&key.0, key.1),
                 attempt: u64::from(seen.attempt),
-                wind_down_s: 0.0,
+                grace_period_s: 0.0,
             });
         }
     }
@@ -460,8 +477,8 @@
                 } else if m.unanswered.contains(&a) {
                     continue;
                 }
-                out.push(Order::Start {
-                    shard: task_name(&key.0, key.1),
+                out.push(Command::Start {
+                    task: task_name(&key.0, key.1),
                     attempt: u64::from(p.attempt),
                 });
             }
@@ -471,18 +488,18 @@
             {
                 m.in_response
                     .insert((key.0.clone(), key.1, p.attempt), m.report_tick);
-                out.push(Order::Start {
-                    shard: task_name(&key.0, key.1),
+                out.push(Command::Start {
+                    task: task_name(&key.0, key.1),
                     attempt: u64::from(p.attempt),
                 });
             }
             (Some(s), Some(grace)) if s.attempt == p.attempt => {
                 let saving = s.status == TaskStatus::Saving && grace > 0;
                 if s.status != TaskStatus::Exited && !saving {
-                    out.push(Order::Stop {
-                        shard: task_name(&key.0, key.1),
+                    out.push(Command::Stop {
+                        task: task_name(&key.0, key.1),
                         attempt: u64::from(p.attempt),
-                        wind_down_s: to_secs(grace),
+                        grace_period_s: to_secs(grace),
                     });
                 }
             }
@@ -499,21 +516,21 @@
 
 /// What a machine's newest report proves about the blocks.
 pub fn reconcile(
-    view: &View,
-    host: &HostId,
-    m: &Machine,
+    view: &ClusterState,
+    machine: &MachineId,
+    m: &WorkerState,
     lease: Micros,
     now: Micros,
-    out: &mut Vec<Intent>,
+    out: &mut Vec<JobChange>,
 ) {
-    let Some(placed) = view.tasks_on(host) else {
+    let Some(placed) = view.tasks_on(machine) else {
         return;
     };
     // The key of a machine is deleted only when it was returned with all that was on it.
-    let gone = !view.hosts.contains_key(host);
-    let over = m.lease_over(lease, now);
+    let gone = !view.machines.contains_key(machine);
+    let over = m.lease_expired(lease, now);
     for (key, p) in placed {
-        let left = |done| Intent::Left {
+        let left = |done| JobChange::AttemptEnded {
             job: key.0.clone(),
             index: key.1,
             attempt: p.attempt,
@@ -528,7 +545,7 @@
         }
         match m.tasks.get(key) {
             Some(s) if s.attempt == p.attempt && s.status == TaskStatus::Exited => {
-                out.push(left(s.cause == Some(Cause::Done)));
+                out.push(left(s.cause == Some(ExitReason::Done)));
             }
             _ => {
                 if stop_of(view, &key.0, p).is_some() && m.absent(key, p.attempt) {
@@ -543,8 +560,8 @@
 /// who does. A token higher than the part's term here means that someone newer does, of whom this view has not
 /// heard: sent on by such a view, a worker went to and fro between two controllers that were both behind, and
 /// never came to the third, until its lease ended its tasks.
-pub fn sent_to<'a>(view: &'a View, me: &str, part: u32, token: u64) -> Option<&'a str> {
-    let p = view.parts.get(&part)?;
+pub fn sent_to<'a>(view: &'a ClusterState, me: &str, shard: u32, token: u64) -> Option<&'a str> {
+    let p = view.shards.get(&shard)?;
     let lives = view
         .members
         .get(&p.owner)
@@ -554,7 +571,7 @@
 
 /// Whether a machine fails what it starts: failures of two jobs, or of one that has not failed
 /// elsewhere.
-pub fn sick(m: &Machine, elsewhere: &dyn Fn(&str) -> bool) -> bool {
+pub fn quarantined(m: &WorkerState, elsewhere: &dyn Fn(&str) -> bool) -> bool {
     let jobs: HashSet<&JobId> = m.errors.iter().map(|(_, j)| j).collect();
     let own: usize = m.errors.iter().filter(|(_, j)| !elsewhere(j)).count();
     (jobs.len() >= 2 && own >= 2) || own >= 3
@@ -563,7 +580,7 @@
 /// When any of these machines was heard last. One that was only taken over has said nothing yet: taken
 /// for a word, it made a controller that was cut off believe that others were heard, and give up 425
 /// machines within two seconds of taking them.
-pub fn newest_word(machines: &BTreeMap<HostId, Machine>) -> Micros {
+pub fn newest_heartbeat(machines: &BTreeMap<MachineId, WorkerState>) -> Micros {
     let spoke = machines.values().filter(|m| m.about.is_some());
     spoke.map(|m| m.heard).max().unwrap_or(0)
 }
@@ -573,14 +590,14 @@
 /// a machine is given up some seconds after the last word from it, which can be sooner than its next
 /// reports are late. Those that are given up before we know that it is us are returned with all that
 /// runs there.
-pub fn cut_off(
-    machines: &BTreeMap<HostId, Machine>,
-    up: &dyn Fn(&HostId) -> bool,
+pub fn isolated(
+    machines: &BTreeMap<MachineId, WorkerState>,
+    up: &dyn Fn(&MachineId) -> bool,
     report: Micros,
     now: Micros,
 ) -> bool {
     let quiet =
-        |m: &Machine| m.probe_failed > m.heard || now.saturating_sub(m.heard) > report * 3 / 2;
+        |m: &WorkerState| m.probe_failed > m.heard || now.saturating_sub(m.heard) > report * 3 / 2;
     if machines.values().filter(|m| quiet(m)).take(2).count() < 2 {
         return false;
     }
@@ -594,40 +611,51 @@
 
 /// What the owner of a machine makes of it that does not report, while calls reach it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mute {
+pub enum InboundPartition {
     /// It reports.
-    No,
+    None,
     /// Its lease has ended what ran there: everybody keeps off it. Before that it may yet report, and services that
     /// were moved at once were missed for longer than those of machines that did.
-    Drains,
+    Drain,
     /// It has been for longer than it is worth to wait for: returned.
-    Gone,
+    Replace,
 }
 
 /// What to make of a machine that may be mute. While many are, it is no fault of single machines, and returning
 /// or draining them would leave the fleet without.
-pub fn mute(m: &Machine, many: bool, lease: Micros, now: Micros) -> Mute {
+pub fn inbound_partition(
+    m: &WorkerState,
+    many: bool,
+    lease: Micros,
+    now: Micros,
+) -> InboundPartition {
     let silent = now.saturating_sub(m.reported);
-    if !m.mute() || many || silent <= lease {
-        Mute::No
-    } else if silent > lease * MUTE_LEASES {
-        Mute::Gone
+    if !m.inbound_partition() || many || silent <= lease {
+        InboundPartition::None
+    } else if silent > lease * PARTITION_LEASES {
+        InboundPartition::Replace
     } else {
-        Mute::Drains
+        InboundPartition::Drain
     }
 }
 
 /// What the key of a machine that holds our token should say, by what it says itself.
-pub fn reported_state(m: &Machine, before: HostState, mute: Mute) -> HostState {
-    match (before, mute) {
-        (_, Mute::Gone) => HostState::Lost,
-        _ if m.notice.is_some() => HostState::Draining,
+pub fn reported_state(
+    m: &WorkerState,
+    before: MachineState,
+    inbound_partition: InboundPartition,
+) -> MachineState {
+    match (before, inbound_partition) {
+        (_, InboundPartition::Replace) => MachineState::Lost,
+        _ if m.notice.is_some() => MachineState::Draining,
         // One that fails its tasks is on its way out already.
-        (HostState::Sick, _) => HostState::Sick,
-        (_, Mute::Drains) => HostState::Draining,
+        (MachineState::Quarantined, _) => MachineState::Quarantined,
+        (_, InboundPartition::Drain) => MachineState::Draining,
         // It was mute, and reports again.
-        (HostState::Draining, Mute::No) if m.reports && !m.mute() => HostState::Up,
-        (HostState::Booting, Mute::No) => HostState::Up,
+        (MachineState::Draining, InboundPartition::None) if m.reports && !m.inbound_partition() => {
+            MachineState::Up
+        }
+        (MachineState::Booting, InboundPartition::None) => MachineState::Up,
         _ => before,
     }
 }
@@ -636,35 +664,35 @@
 /// and lately, and reach us, unless `many` do not: then there is nowhere better, and what starts there runs for a
 /// lease at least. That it is up need not be written first.
 pub fn opens(
-    m: &Machine,
+    m: &WorkerState,
     session: u64,
     many: bool,
     (report, now): (Micros, Micros),
 ) -> Option<u64> {
-    let lately = now.saturating_sub(m.heard) < report * 2;
-    let reaches = many || !m.mute();
-    (m.fenced() && lately && reaches && m.session >= session).then_some(m.session)
+    let recent_commands = now.saturating_sub(m.heard) < report * 2;
+    let reaches = many || !m.inbound_partition();
+    (m.fenced() && recent_commands && reaches && m.session >= session).then_some(m.session)
 }
 
 /// After so many leases without a report a machine is returned.
-const MUTE_LEASES: u64 = 3;
+const PARTITION_LEASES: u64 = 3;
 /// More than one machine in so many that are mute are many.
-const MUTE_MANY: usize = 3;
+const PARTITION_MANY: usize = 3;
 
 /// Whether more than a part of the machines that hold our token are mute.
-pub fn many_mute(machines: &BTreeMap<HostId, Machine>) -> bool {
-    let mute = machines.values().filter(|m| m.mute()).count();
-    if mute < 2 {
+pub fn many_inbound_partitions(machines: &BTreeMap<MachineId, WorkerState>) -> bool {
+    let inbound_partition = machines.values().filter(|m| m.inbound_partition()).count();
+    if inbound_partition < 2 {
         return false;
     }
     let fenced = machines.values().filter(|m| m.fenced()).count();
-    mute * MUTE_MANY > fenced
+    inbound_partition * PARTITION_MANY > fenced
 }
 
 /// Counts for the fairness round from the machines' tasks: the longest active task of each job.
 pub fn longest<'a>(
-    machines: impl Iterator<Item = &'a Machine>,
-    view: &View,
+    machines: impl Iterator<Item = &'a WorkerState>,
+    view: &ClusterState,
     now: Micros,
 ) -> HashMap<JobId, [Micros; 2]> {
     let mut out: HashMap<JobId, [Micros; 2]> = HashMap::new();
@@ -673,7 +701,7 @@
             if view
                 .jobs
                 .get(job)
-                .is_none_or(|j| j.spec.kind == Shape::Service)
+                .is_none_or(|j| j.spec.kind == JobKind::Service)
             {
                 continue;
             }
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -1,66 +1,66 @@
 //! Tests of `workers/mod.rs` that need its private parts.
 
 use super::*;
-use crate::jobs::model::{Block, Record, Room, Slot, Spec};
+use crate::jobs::model::{JobRecord, JobSpec, Resources, TaskBlock, TaskState};
 use crate::store::keys;
 use crate::wire::to_value;
-use crate::wire::user::Rank;
+use crate::wire::user::Priority;
 
-fn view(slot: Slot, cancelled: bool) -> View {
-    let mut v = View::default();
-    let spec = Spec {
+fn view(slot: TaskState, cancelled: bool) -> ClusterState {
+    let mut v = ClusterState::default();
+    let spec = JobSpec {
         class: "c".into(),
         team: "t".into(),
-        kind: Shape::Array,
-        rank: Rank::Normal,
-        tasks: 1,
-        room: Room::default(),
+        kind: JobKind::Array,
+        priority: Priority::Normal,
+        task_count: 1,
+        resources: Resources::default(),
         image: "i".into(),
         image_size: 0,
-        types: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        spread: false,
-        spot: false,
-        estimate: 0,
-        checkpoint: 0,
-        save: 0,
+        single_zone: false,
+        zone_spread: false,
+        allow_spot: false,
+        estimated_run_time: 0,
+        checkpoint_interval: 0,
+        checkpoint_save_time: 0,
         deadline: None,
-        submitted: 0,
+        submitted_at: 0,
         cancelled,
-        needs: Default::default(),
+        dependencies: Default::default(),
     };
-    let job = Record(spec, Block(vec![slot]));
+    let job = JobRecord(spec, TaskBlock(vec![slot]));
     v.put(&keys::job("req-1"), &to_value(&job), 1);
     v
 }
 
-fn placed(attempt: u32) -> Slot {
-    Slot::Placed(Placement {
+fn placed(attempt: u32) -> TaskState {
+    TaskState::Placed(Placement {
         attempt,
-        host: "m".into(),
+        machine: "m".into(),
         session: 1,
         stop: None,
     })
 }
 
-fn report(tick: u64, token: u64, task: Option<TaskStatus>) -> Report {
-    Report {
-        deckhand: "m".into(),
+fn report(tick: u64, token: u64, task: Option<TaskStatus>) -> Heartbeat {
+    Heartbeat {
+        machine: "m".into(),
         address: "10.0.0.1:1".into(),
-        rig: "t".into(),
-        yard: "z".into(),
-        loaners: false,
-        shift: 1,
-        tick,
-        baton: token,
-        recall_s: None,
-        shards: task
-            .map(|status| TaskReport {
-                shard: "req-1/0".into(),
+        machine_type: "t".into(),
+        zone: "z".into(),
+        spot: false,
+        session: 1,
+        sequence: tick,
+        fencing_token: token,
+        preemption_notice_s: None,
+        tasks: task
+            .map(|status| ReportedTask {
+                task: "req-1/0".into(),
                 attempt: 1,
                 status,
-                cause: (status == TaskStatus::Exited).then_some(Cause::Done),
+                reason: (status == TaskStatus::Exited).then_some(ExitReason::Done),
                 saved: None,
             })
             .into_iter()
@@ -68,62 +68,65 @@
     }
 }
 
-fn concluded(v: &View, m: &Machine, now: Micros) -> usize {
+fn concluded(v: &ClusterState, m: &WorkerState, now: Micros) -> usize {
     let mut out = Vec::new();
     reconcile(v, &"m".into(), m, 18 * SECOND, now, &mut out);
     out.len()
 }
 
-fn host(v: &mut View) {
-    let h = crate::autoscaler::model::Host {
-        kind: "t".into(),
+fn machine(v: &mut ClusterState) {
+    let h = crate::autoscaler::model::MachineRecord {
+        machine_type: "t".into(),
         zone: "z".into(),
         spot: false,
-        addr: None,
+        address: None,
         session: 1,
-        state: crate::autoscaler::model::HostState::Up,
-        rented: 0,
+        state: crate::autoscaler::model::MachineState::Up,
+        rented_at: 0,
     };
-    v.put(&keys::host("m"), &to_value(&h), 3);
+    v.put(&keys::machine("m"), &to_value(&h), 3);
 }
 
 /// A direct start that nobody answered may run after a `clear`: no clear until it was answered.
 #[test]
 fn nothing_is_cleared_while_a_start_may_still_come() {
-    let id: HostId = "m".into();
+    let id: MachineId = "m".into();
     let v = view(placed(1), false);
-    let mut m = Machine::new(5, 0);
+    let mut m = WorkerState::new(5, 0);
     m.take(&report(1, 5, None), false, 1);
-    let direct = orders(&v, &id, &mut m, false);
-    assert!(matches!(direct.as_slice(), [Order::Start { .. }]));
+    let direct = commands(&v, &id, &mut m, false);
+    assert!(matches!(direct.as_slice(), [Command::Start { .. }]));
     m.sent(&direct);
     m.take(&report(2, 5, Some(TaskStatus::Exited)), false, 2);
-    let over = view(Slot::Done, false);
-    assert!(orders(&over, &id, &mut m, true).is_empty());
-    assert!(m.stuck(), "only a higher term helps");
+    let over = view(TaskState::Done, false);
+    assert!(commands(&over, &id, &mut m, true).is_empty());
+    assert!(
+        m.blocked_by_unacknowledged_start(),
+        "only a higher term helps"
+    );
     m.answered_direct(&direct);
     assert!(matches!(
-        orders(&over, &id, &mut m, true).as_slice(),
-        [Order::Clear { .. }]
+        commands(&over, &id, &mut m, true).as_slice(),
+        [Command::Forget { .. }]
     ));
     // And never directly: it could overtake a start in the answer to a report.
-    assert!(orders(&over, &id, &mut m, false).is_empty());
+    assert!(commands(&over, &id, &mut m, false).is_empty());
 }
 
 /// A start in the answer to a report is executed before the next report or never; the answer to
 /// direct orders in between proves nothing, and neither does a report with another token.
 #[test]
 fn absence_is_proved_by_the_next_report_alone() {
-    let id: HostId = "m".into();
+    let id: MachineId = "m".into();
     let mut v = view(placed(1), false);
-    host(&mut v);
-    let mut m = Machine::new(5, 0);
+    machine(&mut v);
+    let mut m = WorkerState::new(5, 0);
     m.take(&report(1, 4, None), false, 1);
     let mut gone = view(placed(1), true);
-    host(&mut gone);
+    machine(&mut gone);
     assert_eq!(concluded(&gone, &m, 2), 0, "an older owner may still act");
     m.take(&report(2, 5, None), false, 2);
-    assert_eq!(orders(&v, &id, &mut m, true).len(), 1);
+    assert_eq!(commands(&v, &id, &mut m, true).len(), 1);
     assert_eq!(concluded(&gone, &m, 3), 0, "the answer is on its way");
     m.take(&report(3, 5, None), true, 3);
     assert_eq!(concluded(&gone, &m, 4), 0, "still on its way");
@@ -136,17 +139,20 @@
 /// off misses all of them and must not give up any.
 #[test]
 fn a_cut_is_not_a_dead_machine() {
-    let mut m = Machine::new(5, 0);
+    let mut m = WorkerState::new(5, 0);
     m.take(&report(1, 5, None), false, SECOND);
     for s in 2..9 {
         m.miss(SECOND, s * SECOND);
     }
     assert!(!m.dead, "nobody else was heard either");
-    assert!(!m.given_up(5 * SECOND, 10 * SECOND, false));
-    assert!(!m.given_up(5 * SECOND, 30 * SECOND, true));
-    assert!(m.given_up(5 * SECOND, 30 * SECOND, false), "not for ever");
+    assert!(!m.declared_dead(5 * SECOND, 10 * SECOND, false));
+    assert!(!m.declared_dead(5 * SECOND, 30 * SECOND, true));
+    assert!(
+        m.declared_dead(5 * SECOND, 30 * SECOND, false),
+        "not for ever"
+    );
     m.miss(2 * SECOND + 1, 9 * SECOND);
-    assert!(m.given_up(5 * SECOND, 9 * SECOND, true));
+    assert!(m.declared_dead(5 * SECOND, 9 * SECOND, true));
     m.take(&report(2, 5, None), false, 10 * SECOND);
     assert!(!m.dead);
     m.miss(10 * SECOND, 11 * SECOND);
@@ -157,29 +163,32 @@
 /// the new owner no token and has no address in its key, so nobody can call it.
 #[test]
 fn a_machine_with_tasks_is_given_up_although_its_key_says_that_it_boots() {
-    let m = Machine::new(5, 100 * SECOND);
+    let m = WorkerState::new(5, 100 * SECOND);
     let lost = |state, has, now| m.lost(state, has, (5 * SECOND, now, false));
     let late = 111 * SECOND;
-    assert!(!lost(HostState::Booting, false, late), "it may come up yet");
-    assert!(!lost(HostState::Booting, true, 105 * SECOND));
-    assert!(lost(HostState::Booting, true, late));
-    assert!(lost(HostState::Up, false, late));
+    assert!(
+        !lost(MachineState::Booting, false, late),
+        "it may come up yet"
+    );
+    assert!(!lost(MachineState::Booting, true, 105 * SECOND));
+    assert!(lost(MachineState::Booting, true, late));
+    assert!(lost(MachineState::Up, false, late));
 }
 
 /// Two controllers that were refused by the state service, and a third that took the part of one of them:
 /// its worker has to come to the third, and not to be sent back to the one that drove it before.
 #[test]
 fn a_worker_that_shows_a_newer_token_is_sent_to_nobody_older() {
-    use crate::membership::{Member, Part};
-    let mut v = View::default();
+    use crate::membership::{Member, Shard};
+    let mut v = ClusterState::default();
     let m = Member::begin(None, 7, 2, 0);
     v.put(&keys::member("a"), &to_value(&m), 1);
-    let part = Part {
+    let shard = Shard {
         owner: "a".into(),
         lease: 7,
         term: 4,
     };
-    v.put(&keys::part(3), &to_value(&part), 2);
+    v.put(&keys::shard(3), &to_value(&shard), 2);
     assert_eq!(sent_to(&v, "c", 3, 3), Some("a"));
     assert_eq!(sent_to(&v, "c", 3, 4), Some("a"));
     assert_eq!(sent_to(&v, "c", 3, 5), None);
@@ -192,18 +201,18 @@
 /// Machines that were only taken over count for nothing when it is asked whether others are heard.
 #[test]
 fn a_machine_taken_over_has_said_nothing() {
-    let mut all: BTreeMap<HostId, Machine> = BTreeMap::new();
-    all.insert("a".into(), Machine::new(5, 10 * SECOND));
-    all.insert("b".into(), Machine::new(5, 11 * SECOND));
-    let call = |all: &mut BTreeMap<HostId, Machine>, now| {
-        let others = newest_word(all);
+    let mut all: BTreeMap<MachineId, WorkerState> = BTreeMap::new();
+    all.insert("a".into(), WorkerState::new(5, 10 * SECOND));
+    all.insert("b".into(), WorkerState::new(5, 11 * SECOND));
+    let call = |all: &mut BTreeMap<MachineId, WorkerState>, now| {
+        let others = newest_heartbeat(all);
         if let Some(m) = all.get_mut("a") {
             m.miss(others, now);
         }
-        all["a"].given_up(5 * SECOND, now, false)
+        all["a"].declared_dead(5 * SECOND, now, false)
     };
     assert!(!call(&mut all, 11 * SECOND));
-    all.insert("c".into(), Machine::new(5, 12 * SECOND));
+    all.insert("c".into(), WorkerState::new(5, 12 * SECOND));
     assert!(!call(&mut all, 13 * SECOND), "c was taken over, not heard");
     if let Some(m) = all.get_mut("b") {
         m.take(&report(1, 5, None), false, 13 * SECOND);
@@ -222,10 +231,10 @@
     const REPORT: Micros = 5 * SECOND;
     const LOST_AFTER: Micros = 5 * SECOND;
     let cut = 100 * SECOND;
-    let fleet = |gone: usize, now: Micros| -> BTreeMap<HostId, Machine> {
+    let fleet = |gone: usize, now: Micros| -> BTreeMap<MachineId, WorkerState> {
         (0..100)
             .map(|k| {
-                let mut m = Machine::new(5, 0);
+                let mut m = WorkerState::new(5, 0);
                 // Half have replicas and are called often; others are heard when they report.
                 let last = cut - if k % 2 == 0 { 0 } else { REPORT * k / 100 };
                 m.heard = if (k as usize) < gone { last } else { now };
@@ -238,17 +247,17 @@
             .collect()
     };
     let now = cut + LOST_AFTER;
-    assert!(cut_off(&fleet(100, now), &|_| true, REPORT, now));
-    assert!(!cut_off(&fleet(30, now), &|_| true, REPORT, now));
-    assert!(!cut_off(&fleet(1, now), &|_| true, REPORT, now));
+    assert!(isolated(&fleet(100, now), &|_| true, REPORT, now));
+    assert!(!isolated(&fleet(30, now), &|_| true, REPORT, now));
+    assert!(!isolated(&fleet(1, now), &|_| true, REPORT, now));
 }
 
 /// Silence proves nothing before the lease must be over, and only under our token.
 #[test]
 fn silence_alone_proves_nothing() {
     let mut v = view(placed(1), false);
-    host(&mut v);
-    let mut m = Machine::new(5, 0);
+    machine(&mut v);
+    let mut m = WorkerState::new(5, 0);
     m.take(&report(1, 4, Some(TaskStatus::Running)), false, 1);
     assert_eq!(concluded(&v, &m, 900 * SECOND), 0);
     m.take(&report(2, 5, Some(TaskStatus::Running)), false, 2 * SECOND);
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::SETTINGS;
-use coppergw::jobs::model::{Refusal, admit};
+use coppergw::jobs::model::{AdmissionError, validate};
 use coppergw::settings::Settings;
 use coppergw::wire::cloud::MachineType;
 use coppergw::wire::user::{Submission, id_in, valid_id};
@@ -23,9 +23,9 @@
 fn types() -> BTreeMap<String, MachineType> {
     let gpu = common::machine_type("gpu", 24.0, 2.0);
     let mut cpu = common::machine_type("cpu", 16.0, 0.0);
-    cpu.ram_gb = 64.0;
-    cpu.yards = vec!["a".into(), "b".into()];
-    [gpu, cpu].map(|t| (t.sku.clone(), t)).into()
+    cpu.memory_gb = 64.0;
+    cpu.zones = vec!["a".into(), "b".into()];
+    [gpu, cpu].map(|t| (t.name.clone(), t)).into()
 }
 
 fn submission() -> Value {
@@ -40,10 +40,10 @@
     let Ok(s) = decode::<Submission>(&encode(body)) else {
         return 400;
     };
-    match admit(&s, &settings(), &types(), 1) {
+    match validate(&s, &settings(), &types(), 1) {
         Ok(_) => 201,
-        Err(Refusal::Malformed(_)) => 400,
-        Err(Refusal::Impossible(_)) => 422,
+        Err(AdmissionError::Malformed(_)) => 400,
+        Err(AdmissionError::Impossible(_)) => 422,
     }
 }
 
@@ -167,8 +167,11 @@
                 }
             }
             let s: Submission = decode(&encode(&s)).expect("a submission");
-            let e = admit(&s, &settings(), &types(), 1);
-            assert!(matches!(e, Err(Refusal::Malformed(_))), "{field} {bad}");
+            let e = validate(&s, &settings(), &types(), 1);
+            assert!(
+                matches!(e, Err(AdmissionError::Malformed(_))),
+                "{field} {bad}"
+            );
         }
     }
 }
@@ -229,9 +232,9 @@
         let shape = ["batch", "group", "standing"][shape as usize];
         let (gpus, n) = (f64::from(gpus), if shape == "batch" { 1.0 } else { f64::from(shards) });
         let fits = types().values().any(|t| {
-            (rigs.is_null() || rigs[0] == json!(t.sku))
-                && (zone.is_null() || t.yards.iter().any(|y| zone == json!(y)))
-                && cores <= t.cores && gpus <= t.accelerators && ram <= t.ram_gb
+            (rigs.is_null() || rigs[0] == json!(t.name))
+                && (zone.is_null() || t.zones.iter().any(|y| zone == json!(y)))
+                && cores <= t.cpus && gpus <= t.gpus && ram <= t.memory_gb
         });
         let may = !capped || (cores * n <= 4.0 && gpus * n <= 2.0);
         let got = with(&[
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,26 +1,26 @@
 //! What the tests share: a job, a machine type, limits and a state service of their own.
 #![allow(dead_code)]
 
-use coppergw::autoscaler::model::{Host, HostState};
-use coppergw::jobs::commit::Limits;
-use coppergw::jobs::model::{Load, Room, Spec};
-use coppergw::store::cluster_state::{Index, View};
+use coppergw::autoscaler::model::{MachineRecord, MachineState};
+use coppergw::jobs::commit::TransactionLimits;
+use coppergw::jobs::model::{JobSpec, MachineUsage, Resources};
+use coppergw::store::cluster_state::{ClusterState, Indexes};
 use coppergw::time::SECOND;
 use coppergw::wire::cloud::MachineType;
-use coppergw::wire::state::{Change, Guard, Txn};
+use coppergw::wire::state::{Mutation, Precondition, Transaction};
 use coppergw::wire::to_value;
-use coppergw::wire::user::{Rank, Shape};
+use coppergw::wire::user::{JobKind, Priority};
 use std::collections::BTreeMap;
 
 /// Limits of the grown deployments, in the layout that every version reads.
-pub const LIMITS: Limits = Limits {
-    ops: 16,
-    merge: 16,
-    bytes: 48_000,
-    value: 32_000,
-    layout: false,
+pub const LIMITS: TransactionLimits = TransactionLimits {
+    max_mutations: 16,
+    max_merged_mutations: 16,
+    max_bytes: 48_000,
+    max_value_bytes: 32_000,
+    newer_layout: false,
     packed: false,
-    wall: 0,
+    wall_clock: 0,
 };
 
 /// A platform's settings: two teams, one with a limit.
@@ -59,61 +59,61 @@
 "#;
 
 /// A job of one plain class; tests change what matters to them.
-pub fn spec(kind: Shape, tasks: u32) -> Spec {
-    Spec {
+pub fn spec(kind: JobKind, tasks: u32) -> JobSpec {
+    JobSpec {
         class: "c".into(),
         team: "team".into(),
         kind,
-        rank: Rank::Normal,
-        tasks,
-        room: Room {
+        priority: Priority::Normal,
+        task_count: tasks,
+        resources: Resources {
             cpus: 1000,
             gpus: 0,
             memory: 1000,
         },
         image: "i".into(),
         image_size: 1,
-        types: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        spread: false,
-        spot: true,
-        estimate: 10 * SECOND,
-        checkpoint: 0,
-        save: 0,
+        single_zone: false,
+        zone_spread: false,
+        allow_spot: true,
+        estimated_run_time: 10 * SECOND,
+        checkpoint_interval: 0,
+        checkpoint_save_time: 0,
         deadline: None,
-        submitted: 1,
+        submitted_at: 1,
         cancelled: false,
-        needs: Default::default(),
+        dependencies: Default::default(),
     }
 }
 
 /// An ordinary machine of a type that is up.
-pub fn up(kind: &str) -> Host {
-    Host {
-        kind: kind.into(),
+pub fn up(kind: &str) -> MachineRecord {
+    MachineRecord {
+        machine_type: kind.into(),
         zone: "a".into(),
         spot: false,
-        addr: None,
+        address: None,
         session: 1,
-        state: HostState::Up,
-        rented: 0,
+        state: MachineState::Up,
+        rented_at: 0,
     }
 }
 
 /// A machine type of one zone.
 pub fn machine_type(sku: &str, cores: f64, gpus: f64) -> MachineType {
     MachineType {
-        sku: sku.into(),
-        cores,
-        accelerators: gpus,
-        ram_gb: 192.0,
-        local_gb: 30.0,
+        name: sku.into(),
+        cpus: cores,
+        gpus,
+        memory_gb: 192.0,
+        image_cache_gb: 30.0,
         fetch_gb_per_s: 1.0,
-        rate: 1.0 + gpus * 3.0,
-        market_price: Some(0.4),
-        ready_s: 15.0,
-        yards: vec!["a".into()],
+        price_per_hour: 1.0 + gpus * 3.0,
+        spot_price_per_hour: Some(0.4),
+        boot_time_s: 15.0,
+        zones: vec!["a".into()],
     }
 }
 
@@ -126,17 +126,23 @@
 }
 
 impl Store {
-    pub fn apply(&mut self, t: &Txn) -> bool {
-        for Guard { path, stamp } in &t.guards {
+    pub fn apply(&mut self, t: &Transaction) -> bool {
+        for Precondition {
+            key: path,
+            version: stamp,
+        } in &t.preconditions
+        {
             if self.keys.get(path).map_or(0, |k| k.1) != *stamp {
                 return false;
             }
         }
         self.rev += 1;
-        for c in &t.then {
+        for c in &t.mutations {
             let (key, v) = match c {
-                Change::Put { put, v, .. } => (put, Some(v.clone())),
-                Change::Delete { remove } => (remove, None),
+                Mutation::Put {
+                    key: put, value: v, ..
+                } => (put, Some(v.clone())),
+                Mutation::Delete { key: remove } => (remove, None),
             };
             let there = match &v {
                 Some(v) => {
@@ -153,49 +159,49 @@
     }
 
     pub fn put<T: serde::Serialize>(&mut self, key: String, v: &T) {
-        self.apply(&Txn {
-            guards: vec![],
-            then: vec![Change::Put {
-                put: key,
-                v: to_value(v),
-                permit: None,
+        self.apply(&Transaction {
+            preconditions: vec![],
+            mutations: vec![Mutation::Put {
+                key,
+                value: to_value(v),
+                lease: None,
             }],
         });
     }
 }
 
 /// The index as going through all jobs and machines gives it.
-fn index_afresh(v: &View) -> Index {
-    let mut out = Index::default();
+fn index_afresh(v: &ClusterState) -> Indexes {
+    let mut out = Indexes::default();
     for (id, j) in &v.jobs {
         if j.waiting > 0 {
             out.waiting.insert(id.clone());
-            if j.spec.kind == Shape::Service {
+            if j.spec.kind == JobKind::Service {
                 out.services.insert(id.clone());
             }
         }
-        if (j.cancelled() && j.placed == 0) || j.done == j.spec.tasks {
-            out.over.insert(id.clone());
+        if (j.cancelled() && j.placed == 0) || j.done == j.spec.task_count {
+            out.finished.insert(id.clone());
         }
-        let r = &j.spec.room;
+        let r = &j.spec.resources;
         if r.gpus > 0 {
-            *out.gpu_rooms.entry(r.amounts()).or_default() += 1;
+            *out.gpu_task_sizes.entry(r.amounts()).or_default() += 1;
         }
         for _ in 0..j.placed {
-            out.teams.entry(j.spec.team.clone()).or_default().give(r);
+            out.teams.entry(j.spec.team.clone()).or_default().add(r);
         }
     }
-    out.teams.retain(|_, r| *r != Room::default());
-    for (id, h) in &v.hosts {
-        if matches!(h.state, HostState::Draining | HostState::Closing) {
-            out.leaving.insert(id.clone());
+    out.teams.retain(|_, r| *r != Resources::default());
+    for (id, h) in &v.machines {
+        if matches!(h.state, MachineState::Draining | MachineState::Closing) {
+            out.not_accepting.insert(id.clone());
         }
-        if let Some(t) = v.types.get(&h.kind) {
-            let mut free = Room::of(t);
+        if let Some(t) = v.machine_types.get(&h.machine_type) {
+            let mut free = Resources::of_machine(t);
             for (job, _) in v.tasks_on(id).into_iter().flat_map(|t| t.keys()) {
-                free.take(&v.jobs[job].spec.room);
+                free.subtract(&v.jobs[job].spec.resources);
             }
-            out.free.insert((free.cpus, id.clone()));
+            out.by_free_cpus.insert((free.cpus, id.clone()));
         }
     }
     out
@@ -203,13 +209,13 @@
 
 /// What the view keeps for look-ups equals what going through all jobs and machines gives. A plan that
 /// misses a machine or a job would leave it out without a word.
-pub fn indexed(v: &View) {
+pub fn indexed(v: &ClusterState) {
     assert_eq!(*v.index(), index_afresh(v));
-    for (host, tasks) in &v.on_host {
-        let mut load = Load::default();
+    for (machine, tasks) in &v.tasks_by_machine {
+        let mut load = MachineUsage::default();
         for (job, _) in tasks.keys() {
             load.add(&v.jobs[job].spec);
         }
-        assert_eq!(v.load(host), load, "{host}");
+        assert_eq!(v.usage(machine), load, "{machine}");
     }
 }
--- a/tests/completion_races.rs
+++ b/tests/completion_races.rs
@@ -4,13 +4,13 @@
 mod common;
 
 use common::{LIMITS, Store, spec};
-use coppergw::jobs::commit::{Intent, acceptance, stage, withdraw};
-use coppergw::jobs::model::{Final, JobId, Placement, Record, Slot, Spec, fresh};
+use coppergw::jobs::commit::{JobChange, accept_submission, cancel, stage};
+use coppergw::jobs::model::{FinishedJob, JobId, JobRecord, JobSpec, Placement, TaskState, fresh};
 use coppergw::jobs::pipelines::answer;
-use coppergw::store::cluster_state::View;
+use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
-use coppergw::wire::state::{Change, Txn};
-use coppergw::wire::user::{Shape, Status};
+use coppergw::wire::state::{Mutation, Transaction};
+use coppergw::wire::user::{JobKind, Status};
 use foldhash::{HashMap, HashSet, HashSetExt};
 use proptest::prelude::*;
 
@@ -19,14 +19,14 @@
 
 #[derive(Default)]
 struct Controller {
-    view: View,
+    view: ClusterState,
     seen: usize,
 }
 
 struct World {
     store: Store,
     nodes: [Controller; 2],
-    late: Vec<Txn>,
+    late: Vec<Transaction>,
     told: HashMap<&'static str, Status>,
     /// Jobs that their users asked to cancel.
     asked: HashSet<&'static str>,
@@ -34,12 +34,17 @@
     ended: HashMap<&'static str, HashSet<u32>>,
 }
 
-fn job(k: usize) -> Spec {
+fn job(k: usize) -> JobSpec {
     let (_, tasks) = JOBS[k];
-    let kind = [Shape::Array, Shape::Array, Shape::Gang, Shape::Array][k];
+    let kind = [
+        JobKind::Array,
+        JobKind::Array,
+        JobKind::Gang,
+        JobKind::Array,
+    ][k];
     let mut s = spec(kind, tasks);
     if k == 3 {
-        s.needs.jobs.0 = vec![JOBS[0].0.into()];
+        s.dependencies.jobs.0 = vec![JOBS[0].0.into()];
     }
     s
 }
@@ -55,10 +60,10 @@
             ended: HashMap::default(),
         };
         for (k, (id, tasks)) in JOBS.into_iter().enumerate() {
-            let place = |s: &mut Slot| {
-                *s = Slot::Placed(Placement {
+            let place = |s: &mut TaskState| {
+                *s = TaskState::Placed(Placement {
                     attempt: 1,
-                    host: "m-1".into(),
+                    machine: "m-1".into(),
                     session: 1,
                     stop: None,
                 })
@@ -69,7 +74,7 @@
                 first.0.iter_mut().for_each(place);
                 second.0.iter_mut().for_each(place);
             }
-            w.store.put(keys::job(id), &Record(job(k), first));
+            w.store.put(keys::job(id), &JobRecord(job(k), first));
             if !second.0.is_empty() {
                 w.store.put(keys::block(id, 1), &second);
             }
@@ -88,11 +93,11 @@
             }
         }
         c.seen = self.store.log.len();
-        c.view.rev = self.store.rev;
+        c.view.revision = self.store.rev;
     }
 
     /// Whether it was carried out and answered; what was written is in the view then.
-    fn write(&mut self, n: usize, t: Txn, fate: u8) -> bool {
+    fn write(&mut self, n: usize, t: Transaction, fate: u8) -> bool {
         match fate % 6 {
             0 => self.late.push(t),
             1 => {
@@ -106,10 +111,14 @@
             _ => {
                 if self.store.apply(&t) {
                     let rev = self.store.rev;
-                    for c in &t.then {
+                    for c in &t.mutations {
                         match c {
-                            Change::Put { put, v, .. } => self.nodes[n].view.put(put, v, rev),
-                            Change::Delete { remove } => self.nodes[n].view.delete(remove, rev),
+                            Mutation::Put {
+                                key: put, value: v, ..
+                            } => self.nodes[n].view.put(put, v, rev),
+                            Mutation::Delete { key: remove } => {
+                                self.nodes[n].view.delete(remove, rev)
+                            }
                         }
                     }
                     return true;
@@ -145,13 +154,13 @@
 
     /// It starts anew: final states are not loaded at the start.
     fn anew(&mut self, n: usize) {
-        let mut view = View::default();
+        let mut view = ClusterState::default();
         for (k, (v, stamp)) in &self.store.keys {
-            if !JOBS.iter().any(|(id, _)| *k == keys::fin(id)) {
+            if !JOBS.iter().any(|(id, _)| *k == keys::finished_job(id)) {
                 view.put(k, v, *stamp);
             }
         }
-        view.rev = self.store.rev;
+        view.revision = self.store.rev;
         let seen = self.store.log.len();
         self.nodes[n] = Controller { view, seen };
     }
@@ -161,8 +170,8 @@
         let mut ids: Vec<JobId> = self.nodes[n].view.unknown_above(id);
         ids.push(id.into());
         for id in ids {
-            if let Some((v, stamp)) = self.store.keys.get(&keys::fin(&id)) {
-                self.nodes[n].view.put(&keys::fin(&id), v, *stamp);
+            if let Some((v, stamp)) = self.store.keys.get(&keys::finished_job(&id)) {
+                self.nodes[n].view.put(&keys::finished_job(&id), v, *stamp);
             }
         }
     }
@@ -181,14 +190,14 @@
         status
     }
 
-    fn withdraw(&mut self, n: usize, k: usize, fate: u8) {
+    fn cancel(&mut self, n: usize, k: usize, fate: u8) {
         self.asked.insert(JOBS[k].0);
         let status = self.ask(n, k);
         if matches!(status, Status::Done | Status::Cancelled) {
             return;
         }
         let id: JobId = JOBS[k].0.into();
-        if let Some(t) = withdraw(&self.nodes[n].view, &id, LIMITS)
+        if let Some(t) = cancel(&self.nodes[n].view, &id, LIMITS)
             && self.write(n, t, fate)
         {
             self.ask(n, k);
@@ -202,7 +211,7 @@
             self.ask(n, k);
             return;
         }
-        let steps = acceptance(&self.nodes[n].view, id, job(k), LIMITS).expect("it fits");
+        let steps = accept_submission(&self.nodes[n].view, id, job(k), LIMITS).expect("it fits");
         for t in steps {
             assert!(!self.write(n, t, fate), "{id} is accepted twice");
         }
@@ -218,20 +227,20 @@
         let done = self.ended.get(JOBS[k].0);
         let cancelled = j.cancelled();
         let known = |i: &u32| done.is_some_and(|d| d.contains(i));
-        let mut list: Vec<Intent> = Vec::new();
+        let mut list: Vec<JobChange> = Vec::new();
         for (index, p) in j
             .placements()
             .filter(|(i, _)| cancelled || known(i))
             .take(count)
         {
-            list.push(Intent::Left {
+            list.push(JobChange::AttemptEnded {
                 job: id.clone(),
                 index,
                 attempt: p.attempt,
                 done: known(&index),
             });
         }
-        list.push(Intent::Settle { job: id });
+        list.push(JobChange::Finalize { job: id });
         for s in stage(
             &self.nodes[n].view,
             &list,
@@ -239,7 +248,7 @@
             &|_| false,
             LIMITS,
         ) {
-            self.write(n, s.txn, fate);
+            self.write(n, s.transaction, fate);
         }
     }
 
@@ -258,7 +267,7 @@
     /// Its only task runs and is placed, if it may.
     fn start(&mut self, n: usize) {
         self.sync(n);
-        let place = Intent::Place {
+        let place = JobChange::Place {
             job: JOBS[3].0.into(),
             tasks: vec![(0, "m-1".into(), 1)],
         };
@@ -269,7 +278,7 @@
             &|_| false,
             LIMITS,
         ) {
-            self.store.apply(&s.txn);
+            self.store.apply(&s.transaction);
         }
     }
 
@@ -279,7 +288,7 @@
             0 | 1 => self.sync(n),
             2 => self.complete(k, 1 + u32::from(fate)),
             3..=6 => self.record(n, k, 1 + usize::from(fate) * 2, fate),
-            7 => self.withdraw(n, k, fate),
+            7 => self.cancel(n, k, fate),
             8..=10 => {
                 self.ask(n, k);
             }
@@ -293,17 +302,20 @@
             _ => {}
         }
         // The last job starts after the durable end of what it needs, or never.
-        let first = self.store.keys.get(&keys::fin(JOBS[0].0));
-        let done = first.map(|(v, _)| v.deserialized::<Final>().expect("final"));
+        let first = self.store.keys.get(&keys::finished_job(JOBS[0].0));
+        let done = first.map(|(v, _)| v.deserialized::<FinishedJob>().expect("final"));
         let placed = |n: &Controller| n.view.jobs.get(JOBS[3].0).is_some_and(|j| j.placed > 0);
         let may = done.is_some_and(|f| !f.cancelled);
         assert!(may || !self.nodes.iter().any(placed), "too_early");
         for (id, _) in JOBS {
             let job = self.store.keys.contains_key(&keys::job(id));
-            let fin = self.store.keys.get(&keys::fin(id));
-            assert!(job != fin.is_some(), "{id}: over and not, or neither");
-            if let Some((v, _)) = fin {
-                let f: Final = v.deserialized().expect("final");
+            let finished_job = self.store.keys.get(&keys::finished_job(id));
+            assert!(
+                job != finished_job.is_some(),
+                "{id}: over and not, or neither"
+            );
+            if let Some((v, _)) = finished_job {
+                let f: FinishedJob = v.deserialized().expect("final");
                 let status = self.told.get(id);
                 let want = if f.cancelled {
                     Status::Done
@@ -326,7 +338,7 @@
             w.step(op, a, fate);
         }
         // Whoever asks in the end hears of a final state that both give, once it is written.
-        let late: Vec<Txn> = std::mem::take(&mut w.late);
+        let late: Vec<Transaction> = std::mem::take(&mut w.late);
         for t in &late {
             w.store.apply(t);
         }
@@ -342,7 +354,7 @@
 fn a_withdrawal_between_the_last_exit_and_the_end() {
     let mut w = World::new();
     w.complete(1, 300);
-    w.withdraw(1, 1, 0);
+    w.cancel(1, 1, 0);
     assert_eq!(w.late.len(), 1, "under way");
     w.record(0, 1, 300, 3);
     w.record(0, 1, 300, 3);
@@ -360,7 +372,7 @@
 fn a_withdrawal_after_the_end_changes_nothing() {
     let mut w = World::new();
     w.complete(0, 2);
-    w.withdraw(1, 0, 0);
+    w.cancel(1, 0, 0);
     for _ in 0..2 {
         w.record(0, 0, 9, 3);
     }
@@ -368,7 +380,7 @@
     while let Some(t) = w.late.pop() {
         assert!(!w.store.apply(&t), "its record has changed");
     }
-    w.withdraw(1, 0, 3);
+    w.cancel(1, 0, 3);
     assert_eq!(w.told["req-0"], Status::Done);
     w.repeat(1, 0, 3);
     assert!(!w.store.keys.contains_key(&keys::job("req-0")));
--- a/tests/concurrent_failures.rs
+++ b/tests/concurrent_failures.rs
@@ -4,15 +4,17 @@
 mod common;
 
 use common::{LIMITS, Store, spec};
-use coppergw::jobs::commit::withdraw;
-use coppergw::jobs::model::{Block, Placement, Record, Slot};
+use coppergw::jobs::commit::cancel;
+use coppergw::jobs::model::{JobRecord, Placement, TaskBlock, TaskState};
 use coppergw::jobs::pipelines::answer;
-use coppergw::membership::cancellation_watermark::{HOLD, Speaker, Words, bound_until, word};
-use coppergw::store::cluster_state::View;
+use coppergw::membership::cancellation_watermark::{
+    CONFIRMATION_HOLD, CancellationWatermarks, DigestSource, cancellation_digest, held_until,
+};
+use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
 use coppergw::time::{Micros, SECOND};
-use coppergw::wire::peer::{Hello, Word};
-use coppergw::wire::user::{Shape, Status};
+use coppergw::wire::peer::{CancellationDigest, PeerHeartbeat};
+use coppergw::wire::user::{JobKind, Status};
 use coppergw::workers::may_answer;
 use proptest::prelude::*;
 
@@ -30,18 +32,18 @@
 struct Question {
     to: usize,
     at: Micros,
-    hello: Hello,
-    answer: Option<Hello>,
+    hello: PeerHeartbeat,
+    answer: Option<PeerHeartbeat>,
 }
 
 struct Controller {
     born: Micros,
-    view: View,
+    view: ClusterState,
     /// How much of the log is in the view.
     seen: usize,
     loaded: bool,
     whole_at: Micros,
-    words: Words,
+    words: CancellationWatermarks,
     /// Whether the state service refuses it alone.
     refused: bool,
     read: Option<Read>,
@@ -77,11 +79,11 @@
     Controller {
         born,
         bound: 0,
-        view: View::default(),
+        view: ClusterState::default(),
         seen: 0,
         loaded: false,
         whole_at: 0,
-        words: Words::default(),
+        words: CancellationWatermarks::default(),
         refused: false,
         read: None,
         asked: Vec::new(),
@@ -94,11 +96,14 @@
         for k in 0..TASKS {
             let p = Placement {
                 attempt: 1,
-                host: format!("m-{k}").as_str().into(),
+                machine: format!("m-{k}").as_str().into(),
                 session: 1,
                 stop: None,
             };
-            let job = Record(spec(Shape::Array, 1), Block(vec![Slot::Placed(p)]));
+            let job = JobRecord(
+                spec(JobKind::Array, 1),
+                TaskBlock(vec![TaskState::Placed(p)]),
+            );
             store.put(keys::job(&name(k)), &job);
         }
         let now = 1000 * SECOND;
@@ -159,13 +164,13 @@
             }
         }
         p.seen = p.seen.max(len);
-        p.view.rev = p.view.rev.max(rev);
+        p.view.revision = p.view.revision.max(rev);
         p.loaded = true;
         p.whole_at = p.whole_at.max(begun);
     }
 
     /// A user withdraws a job; a controller that reaches the state service confirms it at once.
-    fn withdraw(&mut self, n: usize, task: usize) {
+    fn cancel(&mut self, n: usize, task: usize) {
         let p = &self.nodes[n];
         if !self.reaches(n) || !p.loaded || self.now < p.bound {
             return;
@@ -173,12 +178,15 @@
         self.nodes[n].read = None;
         self.begin_read(n);
         self.end_read(n);
-        let t = withdraw(&self.nodes[n].view, &name(task).as_str().into(), LIMITS);
+        let t = cancel(&self.nodes[n].view, &name(task).as_str().into(), LIMITS);
         let t = t.expect("the job is there");
         assert!(self.store.apply(&t), "nobody else writes");
         let rev = self.store.rev;
-        for c in &t.then {
-            if let coppergw::wire::state::Change::Put { put, v, .. } = c {
+        for c in &t.mutations {
+            if let coppergw::wire::state::Mutation::Put {
+                key: put, value: v, ..
+            } = c
+            {
                 self.nodes[n].view.put(put, v, rev);
             }
         }
@@ -194,11 +202,11 @@
     }
 
     fn ask(&mut self, n: usize, to: usize) {
-        let hello = Hello {
+        let hello = PeerHeartbeat {
             node: NAMES[n].into(),
-            state_ok: self.state_ok(n),
-            rev: self.nodes[n].view.rev,
-            ..Hello::default()
+            state_service_reachable: self.state_ok(n),
+            revision: self.nodes[n].view.revision,
+            ..PeerHeartbeat::default()
         };
         let at = self.now;
         self.nodes[n].asked.push(Question {
@@ -219,8 +227,8 @@
         };
         let p = &self.nodes[q.to];
         let state_ok = self.state_ok(q.to);
-        let w = word(
-            &Speaker {
+        let w = cancellation_digest(
+            &DigestSource {
                 view: &p.view,
                 loaded: p.whole_at > 0,
                 state_ok,
@@ -229,13 +237,13 @@
             },
             &q.hello,
         );
-        let bound = bound_until(&w, self.now).max(p.bound);
-        let hello = Hello {
+        let bound = held_until(&w, self.now).max(p.bound);
+        let hello = PeerHeartbeat {
             node: NAMES[q.to].into(),
-            state_ok,
-            rev: p.view.rev,
-            word: Some(w),
-            ..Hello::default()
+            state_service_reachable: state_ok,
+            revision: p.view.revision,
+            digest: Some(w),
+            ..PeerHeartbeat::default()
         };
         self.nodes[q.to].bound = bound;
         self.nodes[n].asked[nth % len].answer = Some(hello);
@@ -251,8 +259,8 @@
         let q = p.asked.remove(nth % len);
         let hello = q.answer.expect("answered");
         let times = (q.at, now);
-        for (id, stamp) in p.words.take(NAMES[q.to], times, q.hello.rev, &hello) {
-            p.view.hear_withdrawn(id, *stamp);
+        for (id, stamp) in p.words.take(NAMES[q.to], times, q.hello.revision, &hello) {
+            p.view.merge_cancelled(id, *stamp);
         }
     }
 
@@ -262,9 +270,9 @@
         if t.gone || !p.loaded {
             return;
         }
-        let siblings = (0..3).filter(|s| *s != task % 3).map(|s| NAMES[s]);
-        let informed = p.words.informed(p.whole_at, siblings, self.now);
-        if !may_answer(LEASE, CANCEL, informed, self.now) {
+        let peers = (0..3).filter(|s| *s != task % 3).map(|s| NAMES[s]);
+        let cancellation_watermark = p.words.cancellation_watermark(p.whole_at, peers, self.now);
+        if !may_answer(LEASE, CANCEL, cancellation_watermark, self.now) {
             return;
         }
         if p.view.jobs[name(task).as_str()].cancelled() {
@@ -300,7 +308,7 @@
             2 if a.is_multiple_of(8) => self.end(n),
             3..=5 => self.begin_read(n),
             6..=8 => self.end_read(n),
-            9 => self.withdraw(n, task),
+            9 => self.cancel(n, task),
             10 if a >= 224 => self.nodes[n].loaded = false,
             10 => self.ask_state(n, task),
             11..=13 if n != to => self.ask(n, to),
@@ -384,7 +392,7 @@
             match what {
                 0 => w.nodes[n].refused = true,
                 1 => w.outage = true,
-                2 => w.withdraw(n, k),
+                2 => w.cancel(n, k),
                 3 => w.ask_state(n, k),
                 4 => w.begin_read(n),
                 5 => w.end_read(n),
@@ -415,11 +423,11 @@
         (0..gap).for_each(|_| w.round());
         // Another confirms a part of them; a third hears of some by a read, of others by nobody.
         for task in 0..6 {
-            w.withdraw(1, task);
+            w.cancel(1, task);
         }
         w.begin_read(2);
         w.end_read(2);
-        w.withdraw(1, 6);
+        w.cancel(1, 6);
         w.outage = true;
         (0..110).for_each(|_| w.round());
         for (k, t) in w.tasks.iter().enumerate() {
@@ -434,7 +442,7 @@
 #[test]
 fn an_outage_for_all_ends_no_task() {
     let mut w = World::new(false);
-    w.withdraw(1, 0);
+    w.cancel(1, 0);
     w.outage = true;
     (0..600).for_each(|_| w.round());
     assert!(w.tasks[0].gone);
@@ -447,11 +455,11 @@
 #[test]
 fn a_life_that_begins_while_the_one_before_was_bound_vouches_for_it() {
     let mut w = World::new(false);
-    w.withdraw(1, 0);
+    w.cancel(1, 0);
     w.outage = true;
     (0..10).for_each(|_| w.round());
     w.end(1);
-    w.withdraw(1, 3);
+    w.cancel(1, 3);
     (0..300).for_each(|_| w.round());
     let others = w.tasks.iter().enumerate().filter(|(k, _)| k % 3 != 1);
     others.for_each(|(k, t)| assert_eq!(t.gone, k == 0, "task {k}"));
@@ -462,7 +470,7 @@
 #[test]
 fn a_life_that_read_nothing_vouches_for_nothing() {
     let mut w = World::new(false);
-    w.withdraw(1, 0);
+    w.cancel(1, 0);
     w.outage = true;
     w.end(1);
     (0..110).for_each(|_| w.round());
@@ -477,11 +485,11 @@
     (0..10).for_each(|_| w.round());
     (w.nodes[0].refused, w.nodes[2].refused) = (true, true);
     w.outage = false;
-    w.withdraw(1, 0);
+    w.cancel(1, 0);
     assert_eq!(w.told[0], None);
-    let span = HOLD / SECOND + 1;
+    let span = CONFIRMATION_HOLD / SECOND + 1;
     (0..span).for_each(|_| w.round());
-    w.withdraw(1, 0);
+    w.cancel(1, 0);
     assert_eq!(w.told[0], Some(w.now));
     (0..110).for_each(|_| w.round());
 }
@@ -490,42 +498,45 @@
 /// state service as well; what it names is acted on in any case, if it fits.
 #[test]
 fn what_a_word_has_to_be() {
-    let mut view = View::default();
+    let mut view = ClusterState::default();
     let mut store = Store::default();
-    store.put(keys::RAISES.into(), &1);
+    store.put(keys::PRIORITY_BOOSTS.into(), &1);
     for k in 0..3 {
-        let mut s = spec(Shape::Array, 1);
+        let mut s = spec(JobKind::Array, 1);
         s.cancelled = true;
-        let job = Record(s, Block(vec![Slot::Waiting(0)]));
+        let job = JobRecord(s, TaskBlock(vec![TaskState::Waiting(0)]));
         store.put(keys::job(&name(k)), &job);
     }
     for (rev, k, v) in &store.log {
         view.put(k, v.as_ref().expect("put"), *rev);
     }
     let say = |after, most, loaded, state_ok, asker_ok| {
-        let speaker = Speaker {
+        let speaker = DigestSource {
             view: &view,
             loaded,
             state_ok,
             age: SECOND,
             most,
         };
-        let question = Hello {
-            rev: after,
-            state_ok: asker_ok,
-            ..Hello::default()
+        let question = PeerHeartbeat {
+            revision: after,
+            state_service_reachable: asker_ok,
+            ..PeerHeartbeat::default()
         };
-        word(&speaker, &question)
+        cancellation_digest(&speaker, &question)
     };
-    let hello = |word: Word| Hello {
+    let hello = |word: CancellationDigest| PeerHeartbeat {
         node: "b".into(),
-        word: Some(word),
-        ..Hello::default()
+        digest: Some(word),
+        ..PeerHeartbeat::default()
     };
-    let heard = |h: &Hello, after| {
-        let mut w = Words::default();
+    let heard = |h: &PeerHeartbeat, after| {
+        let mut w = CancellationWatermarks::default();
         let n = w.take("b", (20 * SECOND, 21 * SECOND), after, h).len();
-        (n, w.informed(0, ["b"].into_iter(), 9) / SECOND)
+        (
+            n,
+            w.cancellation_watermark(0, ["b"].into_iter(), 9) / SECOND,
+        )
     };
     let plain = |after, most| hello(say(after, most, true, false, true));
     assert_eq!(heard(&plain(1, 9), 1), (3, 20));
@@ -533,50 +544,53 @@
     assert_eq!(heard(&plain(4, 9), 4), (0, 20));
     assert_eq!(heard(&plain(1, 2), 1), (2, 0), "cut");
     assert_eq!(heard(&plain(2, 9), 1), (0, 0), "of another question");
-    let changed = |f: &dyn Fn(&mut Hello)| {
+    let changed = |f: &dyn Fn(&mut PeerHeartbeat)| {
         let mut h = plain(1, 9);
         f(&mut h);
         heard(&h, 1)
     };
     let none = (0, 0);
     assert_eq!(changed(&|h| h.node = "c".into()), none, "somebody else");
-    assert_eq!(changed(&|h| h.word = None), none, "the version before");
-    assert_eq!(changed(&|h| h.state_ok = true), (3, 0));
+    assert_eq!(changed(&|h| h.digest = None), none, "the version before");
+    assert_eq!(changed(&|h| h.state_service_reachable = true), (3, 0));
     let odd = |id: &str, stamp| {
         let entry = (id.to_string(), stamp);
         changed(&|h| {
-            let w = h.word.as_mut().expect("word");
-            w.withdrawn.push(entry.clone());
+            let w = h.digest.as_mut().expect("word");
+            w.cancelled.push(entry.clone());
         })
     };
     assert_eq!(odd("req-000009", 1), none, "not after what was asked about");
     assert_eq!(odd("../final", 9), none, "no id");
     // Promises: among those without the service only, and none longer than we would give.
-    let promise = |most, state_ok, asker_ok| say(2, most, true, state_ok, asker_ok).holds;
-    assert_eq!(promise(9, false, false), HOLD);
+    let promise = |most, state_ok, asker_ok| say(2, most, true, state_ok, asker_ok).hold;
+    assert_eq!(promise(9, false, false), CONFIRMATION_HOLD);
     assert_eq!(promise(9, true, false), 0);
     assert_eq!(promise(9, false, true), 0, "it needs none");
     assert_eq!(promise(1, false, false), 0, "cut");
     let before = say(0, 9, true, false, false);
-    assert_eq!((before.holds, before.withdrawn.len()), (0, 0));
+    assert_eq!((before.hold, before.cancelled.len()), (0, 0));
     assert_eq!(heard(&hello(before), 0), none, "it asks about nothing");
     let mut long = say(2, 9, true, false, false);
     assert_eq!(heard(&hello(long.clone()), 2), (2, 31));
-    long.holds = 1000 * HOLD;
+    long.hold = 1000 * CONFIRMATION_HOLD;
     assert_eq!(heard(&hello(long), 2), (2, 31));
     // A life that read nothing says how old it is, and counts only if it began within a promise.
     let young = say(1, 9, false, false, false);
-    assert_eq!((young.withdrawn.len(), young.age), (0, Some(SECOND)));
+    assert_eq!(
+        (young.cancelled.len(), young.process_age),
+        (0, Some(SECOND))
+    );
     assert_eq!(heard(&hello(young.clone()), 1), none);
     let mut ancient = young.clone();
-    ancient.age = Some(u64::MAX);
+    ancient.process_age = Some(u64::MAX);
     assert_eq!(heard(&hello(ancient), 1), none);
     let after_promise = |at: Micros| {
-        let mut w = Words::default();
+        let mut w = CancellationWatermarks::default();
         let first = hello(say(1, 9, true, false, false));
         w.take("b", (20 * SECOND, 21 * SECOND), 1, &first);
         w.take("b", (at, at), 1, &hello(young.clone()));
-        w.informed(0, ["b"].into_iter(), 9) / SECOND
+        w.cancellation_watermark(0, ["b"].into_iter(), 9) / SECOND
     };
     assert_eq!(after_promise(32 * SECOND), 43);
     assert_eq!(after_promise(34 * SECOND), 31, "it began too late");
@@ -585,27 +599,27 @@
 /// A view that let go of old cancellations says so.
 #[test]
 fn a_list_that_was_shortened_vouches_only_for_what_it_still_holds() {
-    let mut v = View::default();
-    let mut s = spec(Shape::Array, 1);
+    let mut v = ClusterState::default();
+    let mut s = spec(JobKind::Array, 1);
     s.cancelled = true;
-    let job = Record(s, Block(vec![Slot::Waiting(0)]));
+    let job = JobRecord(s, TaskBlock(vec![TaskState::Waiting(0)]));
     let value = coppergw::wire::to_value(&job);
     for k in 1..=20_005u64 {
         v.put(&keys::job(&format!("req-{k:06}")), &value, k);
     }
     let whole = |rev| {
-        let speaker = Speaker {
+        let speaker = DigestSource {
             view: &v,
             loaded: true,
             state_ok: false,
             age: SECOND,
             most: 100_000,
         };
-        let question = Hello {
-            rev,
-            ..Hello::default()
+        let question = PeerHeartbeat {
+            revision: rev,
+            ..PeerHeartbeat::default()
         };
-        word(&speaker, &question).whole
+        cancellation_digest(&speaker, &question).complete
     };
     assert!(!whole(0));
     assert!(!whole(4));
@@ -618,13 +632,13 @@
     let mut w = World::new(false);
     w.nodes[0].refused = true;
     w.nodes[2].refused = true;
-    w.withdraw(1, 0);
+    w.cancel(1, 0);
     let from = |w: &mut World, n: usize, to: usize| {
         w.ask(n, to);
         w.give_word(n, 0);
-        let word = w.nodes[n].asked[0].answer.clone().and_then(|h| h.word);
+        let word = w.nodes[n].asked[0].answer.clone().and_then(|h| h.digest);
         w.hear_word(n, 0);
-        word.expect("loaded").withdrawn.len()
+        word.expect("loaded").cancelled.len()
     };
     assert_eq!(from(&mut w, 2, 0), 0);
     assert_eq!(from(&mut w, 0, 1), 1);
@@ -643,8 +657,8 @@
     (0..10).for_each(|_| w.round());
     (w.nodes[0].refused, w.nodes[2].refused) = (true, true);
     w.outage = false;
-    (0..HOLD / SECOND + 1).for_each(|_| w.round());
-    w.withdraw(1, 0);
+    (0..CONFIRMATION_HOLD / SECOND + 1).for_each(|_| w.round());
+    w.cancel(1, 0);
     assert_eq!(w.told[0], Some(w.now));
     w.outage = true;
     w.nodes[1].loaded = false;
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -3,38 +3,38 @@
 mod common;
 
 use common::{LIMITS, spec};
-use coppergw::ids::HostId;
-use coppergw::jobs::commit::{Intent, Staged};
-use coppergw::jobs::model::{Block, JobId, Placement, Record, Slot, Spec};
-use coppergw::reconciliation::decide::{Pass, Rounds};
-use coppergw::store::cluster_state::View;
+use coppergw::ids::MachineId;
+use coppergw::jobs::commit::{JobChange, StagedTransaction};
+use coppergw::jobs::model::{JobId, JobRecord, JobSpec, Placement, TaskBlock, TaskState};
+use coppergw::reconciliation::decide::{ReconcileInput, WriteSchedule};
+use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
 use coppergw::time::SECOND;
 use coppergw::wire::to_value;
-use coppergw::wire::user::Shape;
+use coppergw::wire::user::JobKind;
 use foldhash::HashSet;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
 /// A view with so many jobs that were withdrawn before they were placed, and arrays of which one task
 /// of two has left its machine.
-fn view(withdrawn: usize, running: usize) -> (View, BTreeMap<HostId, Vec<Intent>>) {
-    let mut v = View::default();
-    let mut lefts: BTreeMap<HostId, Vec<Intent>> = BTreeMap::new();
+fn view(withdrawn: usize, running: usize) -> (ClusterState, BTreeMap<MachineId, Vec<JobChange>>) {
+    let mut v = ClusterState::default();
+    let mut lefts: BTreeMap<MachineId, Vec<JobChange>> = BTreeMap::new();
     for k in 0..withdrawn + running {
         let id = format!("req-{k:06}");
         let (cancelled, slots) = if k < withdrawn {
-            (true, vec![Slot::Waiting(0); 2])
+            (true, vec![TaskState::Waiting(0); 2])
         } else {
             let placed = |n: usize| {
-                Slot::Placed(Placement {
+                TaskState::Placed(Placement {
                     attempt: 1,
-                    host: format!("m-{n:06}").into(),
+                    machine: format!("m-{n:06}").into(),
                     session: 1,
                     stop: None,
                 })
             };
-            let left = Intent::Left {
+            let left = JobChange::AttemptEnded {
                 job: id.as_str().into(),
                 index: 0,
                 attempt: 1,
@@ -46,20 +46,20 @@
                 .push(left);
             (false, vec![placed(k), placed(k + 1)])
         };
-        let s = Spec {
+        let s = JobSpec {
             cancelled,
-            ..spec(Shape::Array, 2)
+            ..spec(JobKind::Array, 2)
         };
         v.put(
             &keys::job(&id),
-            &to_value(&Record(s, Block(slots))),
+            &to_value(&JobRecord(s, TaskBlock(slots))),
             k as u64 + 1,
         );
     }
     (v, lefts)
 }
 
-fn jobs(staged: &[Staged]) -> Vec<JobId> {
+fn jobs(staged: &[StagedTransaction]) -> Vec<JobId> {
     staged.iter().flat_map(|s| s.jobs.clone()).collect()
 }
 
@@ -76,23 +76,23 @@
     ) {
         const BURST: f64 = 30.0;
         let (v, lefts) = view(withdrawn, running);
-        let mut rounds = Rounds::default();
+        let mut rounds = WriteSchedule::default();
         let mut busy: HashSet<JobId> = HashSet::default();
         let mut written = 0;
         for round in 0..60u64 {
             let level = if round == 0 { level } else { BURST };
-            let staged = rounds.decide(&Pass {
+            let staged = rounds.decide(&ReconcileInput {
                 view: &v,
-                lefts: &lefts,
-                busy: &busy,
-                budget: (level, BURST),
+                ended_attempts: &lefts,
+                jobs_in_flight: &busy,
+                write_budget: (level, BURST),
                 limits: LIMITS,
-                capped: &|_| false,
+                has_team_limit: &|_| false,
                 plan: &|_| Vec::new(),
                 now: (100 + round) * SECOND,
             });
-            let changes: usize = staged.iter().map(|s| s.txn.then.len()).sum();
-            prop_assert!(changes as f64 <= level.max(0.0) + LIMITS.merge as f64);
+            let changes: usize = staged.iter().map(|s| s.transaction.mutations.len()).sum();
+            prop_assert!(changes as f64 <= level.max(0.0) + LIMITS.max_merged_mutations as f64);
             prop_assert!(level >= 0.0 || changes == 0);
             let done = jobs(&staged);
             written += done.len();
@@ -108,15 +108,15 @@
 #[test]
 fn ends_come_before_bookkeeping() {
     let (v, lefts) = view(4, 4);
-    let mut rounds = Rounds::default();
+    let mut rounds = WriteSchedule::default();
     let mut at = |now, budget| {
-        rounds.decide(&Pass {
+        rounds.decide(&ReconcileInput {
             view: &v,
-            lefts: &lefts,
-            busy: &HashSet::default(),
-            budget,
+            ended_attempts: &lefts,
+            jobs_in_flight: &HashSet::default(),
+            write_budget: budget,
             limits: LIMITS,
-            capped: &|_| false,
+            has_team_limit: &|_| false,
             plan: &|_| Vec::new(),
             now,
         })
@@ -133,18 +133,18 @@
 #[test]
 fn nothing_is_planned_in_debt() {
     let (v, lefts) = view(4, 0);
-    let mut rounds = Rounds::default();
+    let mut rounds = WriteSchedule::default();
     let mut wishes = |now, level| {
         let seen = std::cell::RefCell::new(Vec::new());
-        rounds.decide(&Pass {
+        rounds.decide(&ReconcileInput {
             view: &v,
-            lefts: &lefts,
-            busy: &HashSet::default(),
-            budget: (level, 30.0),
+            ended_attempts: &lefts,
+            jobs_in_flight: &HashSet::default(),
+            write_budget: (level, 30.0),
             limits: LIMITS,
-            capped: &|_| false,
+            has_team_limit: &|_| false,
             plan: &|w| {
-                seen.borrow_mut().push((w.arrays, w.writes));
+                seen.borrow_mut().push((w.arrays, w.max_jobs));
                 Vec::new()
             },
             now,
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -3,15 +3,15 @@
 mod common;
 
 use common::SETTINGS;
-use coppergw::jobs::api::names_jobs;
-use coppergw::jobs::model::{Block, Placement, Refusal, Slot, admit};
+use coppergw::jobs::api::names_dependencies;
+use coppergw::jobs::model::{AdmissionError, Placement, TaskBlock, TaskState, validate};
 use coppergw::policy::Policy;
 use coppergw::settings::Settings;
 use coppergw::wire::cloud::MachineType;
-use coppergw::wire::peer::{Hello, pack, unpack};
-use coppergw::wire::state::{Log, Page, Revision};
-use coppergw::wire::user::{JobAnswer, Rank, Shape, Submission, route, valid_id};
-use coppergw::wire::worker::{Cause, Order, Orders, Report};
+use coppergw::wire::peer::{PeerHeartbeat, pack, unpack};
+use coppergw::wire::state::{Page, Revision, WatchResponse};
+use coppergw::wire::user::{JobAnswer, JobKind, Priority, Submission, route, valid_id};
+use coppergw::wire::worker::{Command, CommandBatch, ExitReason, Heartbeat};
 use coppergw::wire::{cloud, decode, encode, from_value, to_value};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -22,16 +22,16 @@
 
 fn types() -> BTreeMap<String, MachineType> {
     let t = MachineType {
-        sku: "g8".into(),
-        cores: 8.0,
-        accelerators: 2.0,
-        ram_gb: 64.0,
-        local_gb: 1.0,
+        name: "g8".into(),
+        cpus: 8.0,
+        gpus: 2.0,
+        memory_gb: 64.0,
+        image_cache_gb: 1.0,
         fetch_gb_per_s: 1.0,
-        rate: 1.0,
-        market_price: None,
-        ready_s: 1.0,
-        yards: vec!["z".into()],
+        price_per_hour: 1.0,
+        spot_price_per_hour: None,
+        boot_time_s: 1.0,
+        zones: vec!["z".into()],
     };
     BTreeMap::from([("g8".to_string(), t)])
 }
@@ -39,26 +39,26 @@
 fn submission() -> Submission {
     Submission {
         id: "req-000412".into(),
-        jobclass: "train".into(),
-        owner: "free".into(),
-        shape: Shape::Gang,
-        rank: Rank::High,
-        shards: 16,
-        cores: 8.0,
-        accelerators: 1.0,
-        ram_gb: 64.0,
-        bundle: "img-07".into(),
-        size_gb: 6.2,
-        rigs: Some(vec!["g8".into()]),
-        yard: None,
-        together: true,
-        scatter: false,
-        loaners: true,
-        expected_s: 240.0,
-        bookmark_s: 30.0,
-        flush_s: 4.0,
-        due_s: Some(900.0),
-        waits_on: None,
+        class: "train".into(),
+        team: "free".into(),
+        kind: JobKind::Gang,
+        priority: Priority::High,
+        task_count: 16,
+        cpus: 8.0,
+        gpus: 1.0,
+        memory_gb: 64.0,
+        image: "img-07".into(),
+        image_gb: 6.2,
+        machine_types: Some(vec!["g8".into()]),
+        zone: None,
+        single_zone: true,
+        zone_spread: false,
+        allow_spot: true,
+        estimated_run_time_s: 240.0,
+        checkpoint_interval_s: 30.0,
+        checkpoint_save_time_s: 4.0,
+        deadline_s: Some(900.0),
+        dependencies: None,
     }
 }
 
@@ -67,13 +67,13 @@
 #[test]
 fn submissions_that_name_jobs_are_seen() {
     let with = |l: Option<Vec<String>>| {
-        names_jobs(&encode(&Submission {
-            waits_on: l,
+        names_dependencies(&encode(&Submission {
+            dependencies: l,
             ..submission()
         }))
     };
     assert!(with(Some(vec!["req-1".into()])));
-    assert!(!with(Some(Vec::new())) && !with(None) && !names_jobs(b"x"));
+    assert!(!with(Some(Vec::new())) && !with(None) && !names_dependencies(b"x"));
 }
 
 /// 422 as the protocol defines it for each shape; 400 for what is malformed.
@@ -83,46 +83,49 @@
     let judge = |f: &dyn Fn(&mut Submission)| {
         let mut x = submission();
         f(&mut x);
-        match admit(&x, &s, &t, 1) {
+        match validate(&x, &s, &t, 1) {
             Ok(_) => 201,
-            Err(Refusal::Malformed(_)) => 400,
-            Err(Refusal::Impossible(_)) => 422,
+            Err(AdmissionError::Malformed(_)) => 400,
+            Err(AdmissionError::Impossible(_)) => 422,
         }
     };
     assert_eq!(judge(&|_| ()), 201);
     assert_eq!(judge(&|x| x.id = "job-1".into()), 400);
-    assert_eq!(judge(&|x| x.shards = 0), 400);
-    assert_eq!(judge(&|x| x.shards = 100_001), 400);
-    assert_eq!(judge(&|x| x.cores = f64::NAN), 400);
-    assert_eq!(judge(&|x| x.flush_s = -1.0), 400);
-    assert_eq!(judge(&|x| x.owner = "nobody".into()), 422);
-    assert_eq!(judge(&|x| x.cores = 9.0), 422);
-    assert_eq!(judge(&|x| x.rigs = Some(vec!["other".into()])), 422);
-    assert_eq!(judge(&|x| x.yard = Some("elsewhere".into())), 422);
+    assert_eq!(judge(&|x| x.task_count = 0), 400);
+    assert_eq!(judge(&|x| x.task_count = 100_001), 400);
+    assert_eq!(judge(&|x| x.cpus = f64::NAN), 400);
+    assert_eq!(judge(&|x| x.checkpoint_save_time_s = -1.0), 400);
+    assert_eq!(judge(&|x| x.team = "nobody".into()), 422);
+    assert_eq!(judge(&|x| x.cpus = 9.0), 422);
+    assert_eq!(
+        judge(&|x| x.machine_types = Some(vec!["other".into()])),
+        422
+    );
+    assert_eq!(judge(&|x| x.zone = Some("elsewhere".into())), 422);
     // Over the team's limit: an array counts one task, the others all of them.
     let capped = |shape, cores| {
         judge(&move |x: &mut Submission| {
-            x.owner = "capped".into();
-            x.shape = shape;
-            x.cores = cores;
+            x.team = "capped".into();
+            x.kind = shape;
+            x.cpus = cores;
         })
     };
-    assert_eq!(capped(Shape::Array, 4.0), 201);
-    assert_eq!(capped(Shape::Array, 5.0), 422);
-    assert_eq!(capped(Shape::Gang, 1.0), 422);
-    assert_eq!(capped(Shape::Service, 1.0), 422);
-    assert_eq!(capped(Shape::Service, 0.25), 201);
+    assert_eq!(capped(JobKind::Array, 4.0), 201);
+    assert_eq!(capped(JobKind::Array, 5.0), 422);
+    assert_eq!(capped(JobKind::Gang, 1.0), 422);
+    assert_eq!(capped(JobKind::Service, 1.0), 422);
+    assert_eq!(capped(JobKind::Service, 0.25), 201);
 }
 
 #[test]
 fn orders_read_as_the_protocol_writes_them() {
-    let o = Orders {
-        baton: 41,
-        shift: None,
-        orders: vec![Order::Stop {
-            shard: "req-1/2".into(),
+    let o = CommandBatch {
+        fencing_token: 41,
+        session: None,
+        commands: vec![Command::Stop {
+            task: "req-1/2".into(),
             attempt: 3,
-            wind_down_s: 10.0,
+            grace_period_s: 10.0,
         }],
     };
     let v: serde_json::Value = decode(&encode(&o)).expect("decodes");
@@ -132,8 +135,8 @@
     let r = serde_json::json!({"deckhand": "m-1", "address": "10.1.0.2:9000", "rig": "g8",
         "yard": "a", "shift": 1, "tick": 88, "new": {"x": [1]}, "shards": [
         {"shard": "req-1/0", "try": 1, "status": "ended", "cause": "never heard of"}]});
-    let r: Report = decode(&encode(&r)).expect("unknown fields and causes are taken");
-    assert_eq!(r.shards[0].cause, Some(Cause::Other));
+    let r: Heartbeat = decode(&encode(&r)).expect("unknown fields and causes are taken");
+    assert_eq!(r.tasks[0].reason, Some(ExitReason::Other));
 }
 
 #[test]
@@ -153,8 +156,11 @@
     assert!(bad("[deployment.cloud]", &next("txn_ops = 3")).contains("next.txn_ops"));
     let s = SETTINGS.replace("[deployment.cloud]", &next("value_kb = 2.0"));
     let s = Settings::parse("s.toml", &s).expect("any may be missing");
-    let next = s.next.expect("announced");
-    assert_eq!((next.value_bytes, next.txn_ops), (2048, s.limits.txn_ops));
+    let next = s.next_state_limits.expect("announced");
+    assert_eq!(
+        (next.max_value_bytes, next.max_mutations),
+        (2048, s.state_limits.max_mutations)
+    );
 }
 
 #[test]
@@ -172,18 +178,22 @@
     assert!(p("return { max_machines = #string.rep('x', 1e9) }").is_err());
 }
 
-fn slot() -> impl Strategy<Value = Slot> {
+fn slot() -> impl Strategy<Value = TaskState> {
     let placed = (1u32..9, "m-[0-9]{6}", 1u64..9, any::<Option<u16>>()).prop_map(
-        |(attempt, host, session, stop)| {
-            Slot::Placed(Placement {
+        |(attempt, machine, session, stop)| {
+            TaskState::Placed(Placement {
                 attempt,
-                host: host.into(),
+                machine: machine.into(),
                 session,
                 stop: stop.map(|ms| u64::from(ms) * 1000),
             })
         },
     );
-    prop_oneof![(0u32..9).prop_map(Slot::Waiting), placed, Just(Slot::Done)]
+    prop_oneof![
+        (0u32..9).prop_map(TaskState::Waiting),
+        placed,
+        Just(TaskState::Done)
+    ]
 }
 
 proptest! {
@@ -196,23 +206,23 @@
 
     #[test]
     fn blocks_survive_the_state_service(slots in proptest::collection::vec(slot(), 0..256)) {
-        let b = Block(slots);
+        let b = TaskBlock(slots);
         let bytes = encode(&to_value(&b));
         // A full block fits into the smallest value that either site allows.
         prop_assert!(bytes.len() < 32 * 1024);
-        prop_assert_eq!(from_value::<Block>(&decode(&bytes).expect("value")), Some(b));
+        prop_assert_eq!(from_value::<TaskBlock>(&decode(&bytes).expect("value")), Some(b));
     }
 
     #[test]
     fn arbitrary_bytes_do_no_harm(b in proptest::collection::vec(any::<u8>(), 0..200)) {
         let _ = decode::<Submission>(&b);
-        let _ = decode::<Report>(&b);
+        let _ = decode::<Heartbeat>(&b);
         let _ = decode::<JobAnswer>(&b);
         let _ = decode::<Page>(&b);
-        let _ = decode::<Log>(&b);
+        let _ = decode::<WatchResponse>(&b);
         let _ = decode::<Revision>(&b);
         let _ = decode::<cloud::Page>(&b);
-        let _ = unpack::<Hello>(&b);
+        let _ = unpack::<PeerHeartbeat>(&b);
         if let Ok(text) = std::str::from_utf8(&b) {
             let _ = Settings::parse("x", text);
             let _ = route(text);
@@ -225,7 +235,7 @@
         if cut < b.len() {
             b[cut] ^= flip;
             if let Ok(s) = decode::<Submission>(&b) {
-                let _ = admit(&s, &settings(), &types(), 1);
+                let _ = validate(&s, &settings(), &types(), 1);
             }
             prop_assert!(decode::<Submission>(&b[..cut]).is_err());
         }
@@ -233,8 +243,8 @@
 
     #[test]
     fn peers_understand_each_other(node in "[a-z]{1,9}", ok in any::<bool>()) {
-        let h = Hello { node: node.clone(), state_ok: ok, ..Hello::default() };
-        prop_assert_eq!(unpack::<Hello>(&pack(&h)).map(|h| (h.node, h.state_ok)), Some((node, ok)));
+        let h = PeerHeartbeat { node: node.clone(), state_service_reachable: ok, ..PeerHeartbeat::default() };
+        prop_assert_eq!(unpack::<PeerHeartbeat>(&pack(&h)).map(|h| (h.node, h.state_service_reachable)), Some((node, ok)));
     }
 
     #[test]
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -11,20 +11,28 @@
 
 use ciborium::Value;
 use common::{LIMITS, SETTINGS};
-use coppergw::autoscaler::model::{Charter, Host, HostState, Leaving};
-use coppergw::fairness::service_levels::{Row, Served};
-use coppergw::fairness::{Counts, Raises};
-use coppergw::jobs::commit::{Limits, acceptance, withdraw};
-use coppergw::jobs::model::{AnyRecord, Block, Final, Ids, Record, Stored, admit};
-use coppergw::membership::{Leader, Member, Part, Version};
-use coppergw::scheduling::pending_reason::Why;
+use coppergw::autoscaler::model::{MachineRecord, MachineState, ScaleOutRequest, TerminationBatch};
+use coppergw::fairness::service_levels::{ServiceLevelRow, ServiceLevels};
+use coppergw::fairness::{Counts, PriorityBoosts};
+use coppergw::jobs::commit::{TransactionLimits, accept_submission, cancel};
+use coppergw::jobs::model::{
+    FinishedJob, JobIdList, JobRecord, StoredBlock, StoredJobRecord, TaskBlock, validate,
+};
+use coppergw::membership::{Leader, Member, Shard, Version};
+use coppergw::scheduling::pending_reason::PendingReason;
 use coppergw::settings::{ObjectiveKind, Settings, StateLimits};
-use coppergw::store::cluster_state::View;
+use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
-use coppergw::wire::peer::{Forward, Forwarded, Hello, Word, pack, unpack};
-use coppergw::wire::state::{Change, Event, Item, Lease, LeaseAsk, Log, Revision, Txn};
-use coppergw::wire::worker::{Cause, Order, Orders, Redirect, Report, TaskReport, TaskStatus};
-use coppergw::wire::{Refused, cloud, decode, encode, from_value, peer, state, to_value};
+use coppergw::wire::peer::{
+    CancellationDigest, ForwardedRequest, ForwardedResponse, PeerHeartbeat, pack, unpack,
+};
+use coppergw::wire::state::{
+    Event, Item, Lease, LeaseRequest, Mutation, Revision, Transaction, WatchResponse,
+};
+use coppergw::wire::worker::{
+    Command, CommandBatch, ExitReason, Heartbeat, LeaderRedirect, ReportedTask, TaskStatus,
+};
+use coppergw::wire::{ErrorBody, cloud, decode, encode, from_value, peer, state, to_value};
 use coppergw::wire::{user, worker};
 use serde::{Serialize, de::DeserializeOwned};
 use std::cell::RefCell;
@@ -125,105 +133,111 @@
 
 fn users(golden: &Golden) {
     golden.wire::<user::Submission>("submission", FullAndSparse);
-    golden.wire::<Vec<user::Shape>>("shapes", Full);
-    golden.wire::<Vec<user::Rank>>("ranks", Full);
+    golden.wire::<Vec<user::JobKind>>("shapes", Full);
+    golden.wire::<Vec<user::Priority>>("ranks", Full);
     golden.wire::<Vec<user::Status>>("job_statuses", Full);
     golden.wire::<user::JobAnswer>("job_answer", FullAndSparse);
-    golden.wire::<Refused>("refused", Full);
+    golden.wire::<ErrorBody>("refused", Full);
 }
 
 fn workers(golden: &Golden) {
-    golden.wire::<Report>("report", FullAndSparse);
-    golden.wire::<TaskReport>("task_report", FullAndSparse);
+    golden.wire::<Heartbeat>("report", FullAndSparse);
+    golden.wire::<ReportedTask>("task_report", FullAndSparse);
     golden.wire::<Vec<TaskStatus>>("task_statuses", Full);
-    golden.wire::<Vec<Cause>>("causes", FullAndSparse);
-    golden.wire::<Orders>("orders", FullAndSparse);
-    golden.wire::<Redirect>("redirect", FullAndSparse);
+    golden.wire::<Vec<ExitReason>>("causes", FullAndSparse);
+    golden.wire::<CommandBatch>("orders", FullAndSparse);
+    golden.wire::<LeaderRedirect>("redirect", FullAndSparse);
 }
 
 fn clouds(golden: &Golden) {
-    golden.wire::<cloud::Types>("machine_types", FullAndSparse);
-    golden.wire::<cloud::Rental>("rental", Full);
-    golden.wire::<cloud::Names>("machine_names", Full);
+    golden.wire::<cloud::MachineTypes>("machine_types", FullAndSparse);
+    golden.wire::<cloud::ProvisionRequest>("rental", Full);
+    golden.wire::<cloud::MachineNames>("machine_names", Full);
     golden.wire::<cloud::Page>("machine_list", FullAndSparse);
-    golden.wire::<Vec<cloud::HostStatus>>("machine_statuses", FullAndSparse);
+    golden.wire::<Vec<cloud::ListedStatus>>("machine_statuses", FullAndSparse);
 }
 
 fn state_service(golden: &Golden) {
     golden.wire::<state::Page>("state_page", FullAndSparse);
     golden.wire::<Item>("state_item", Full);
     golden.wire::<Revision>("state_revision", FullAndSparse);
-    golden.wire::<Txn>("state_transaction", FullAndSparse);
-    golden.wire::<LeaseAsk>("state_lease_ask", Full);
+    golden.wire::<Transaction>("state_transaction", FullAndSparse);
+    golden.wire::<LeaseRequest>("state_lease_ask", Full);
     golden.wire::<Lease>("state_lease", Full);
-    golden.wire::<Log>("state_log", FullAndSparse);
+    golden.wire::<WatchResponse>("state_log", FullAndSparse);
     golden.wire::<Event>("state_event_put", FullAndSparse);
 }
 
 fn controllers(golden: &Golden) {
-    golden.between::<Hello>("hello", FullAndSparse);
-    golden.between::<Word>("word", FullAndSparse);
-    golden.between::<Forward>("forward", Full);
-    golden.between::<Forwarded>("forwarded", FullAndSparse);
+    golden.between::<PeerHeartbeat>("hello", FullAndSparse);
+    golden.between::<CancellationDigest>("word", FullAndSparse);
+    golden.between::<ForwardedRequest>("forward", Full);
+    golden.between::<ForwardedResponse>("forwarded", FullAndSparse);
 }
 
 fn values(golden: &Golden) {
-    golden.stored::<Record>("record", FullAndSparse);
-    golden.stored::<AnyRecord>("record_plain", FullAndSparse);
-    golden.stored::<AnyRecord>("record_packed", FullAndSparse);
-    golden.stored::<AnyRecord>("record_split", Full);
-    golden.stored::<Block>("block", Full);
-    golden.stored::<Stored>("block_plain", Full);
-    golden.stored::<Stored>("block_packed", FullAndSparse);
-    golden.stored::<Stored>("block_split", FullAndSparse);
-    golden.stored::<Ids>("needs", FullAndSparse);
-    golden.stored::<Final>("final", FullAndSparse);
-    golden.stored::<Host>("host", FullAndSparse);
-    golden.stored::<Vec<HostState>>("host_states", Full);
-    golden.stored::<Charter>("charter", FullAndSparse);
-    golden.stored::<Leaving>("leaving", FullAndSparse);
+    golden.stored::<JobRecord>("record", FullAndSparse);
+    golden.stored::<StoredJobRecord>("record_plain", FullAndSparse);
+    golden.stored::<StoredJobRecord>("record_packed", FullAndSparse);
+    golden.stored::<StoredJobRecord>("record_split", Full);
+    golden.stored::<TaskBlock>("block", Full);
+    golden.stored::<StoredBlock>("block_plain", Full);
+    golden.stored::<StoredBlock>("block_packed", FullAndSparse);
+    golden.stored::<StoredBlock>("block_split", FullAndSparse);
+    golden.stored::<JobIdList>("needs", FullAndSparse);
+    golden.stored::<FinishedJob>("final", FullAndSparse);
+    golden.stored::<MachineRecord>("host", FullAndSparse);
+    golden.stored::<Vec<MachineState>>("host_states", Full);
+    golden.stored::<ScaleOutRequest>("charter", FullAndSparse);
+    golden.stored::<TerminationBatch>("leaving", FullAndSparse);
     golden.stored::<Counts>("counts", FullAndSparse);
-    golden.stored::<Raises>("raises", FullAndSparse);
-    golden.stored::<Served>("served", FullAndSparse);
+    golden.stored::<PriorityBoosts>("raises", FullAndSparse);
+    golden.stored::<ServiceLevels>("served", FullAndSparse);
     golden.stored::<String>("team", Full);
     golden.stored::<Vec<cloud::MachineType>>("types", FullAndSparse);
     golden.stored::<cloud::MachineType>("type", FullAndSparse);
     golden.stored::<Version>("version", Full);
     golden.stored::<Member>("member", FullAndSparse);
     golden.stored::<Leader>("leader", Full);
-    golden.stored::<Part>("part", Full);
+    golden.stored::<Shard>("part", Full);
 }
 
 /// What follows from a submission: which of its fields becomes which of the record, and under which keys.
 fn transactions(golden: &Golden) {
     let submission: user::Submission =
         decode(&golden.bytes("wire/submission.full.cbor")).expect("submission");
-    let offered: cloud::Types =
+    let offered: cloud::MachineTypes =
         decode(&golden.bytes("wire/machine_types.full.cbor")).expect("machine types");
-    let types = offered.rigs.into_iter().map(|t| (t.sku.clone(), t));
+    let types = offered
+        .machine_types
+        .into_iter()
+        .map(|t| (t.name.clone(), t));
     let settings = Settings::parse("s.toml", SETTINGS).expect("settings");
-    let accepted = admit(&submission, &settings, &types.collect(), 1_700_000_000);
+    let accepted = validate(&submission, &settings, &types.collect(), 1_700_000_000);
     let accepted = accepted.unwrap_or_else(|_| panic!("refused"));
     let id = "req-000412";
     let plain = LIMITS;
-    let packed = Limits {
-        layout: true,
+    let packed = TransactionLimits {
+        newer_layout: true,
         packed: true,
         ..LIMITS
     };
     for (form, limits) in [("plain", plain), ("packed", packed)] {
-        let mut view = View::default();
-        let written = acceptance(&view, id, accepted.clone(), limits).expect("it fits");
+        let mut view = ClusterState::default();
+        let written = accept_submission(&view, id, accepted.clone(), limits).expect("it fits");
         golden.same(
             &format!("transactions/accept_{form}.cbor"),
             &encode(&written),
         );
-        for change in &written[0].then {
-            if let Change::Put { put, v, .. } = change {
+        for change in &written[0].mutations {
+            if let Mutation::Put {
+                key: put, value: v, ..
+            } = change
+            {
                 view.put(put, v, 5);
             }
         }
-        let written = withdraw(&view, &id.into(), limits).expect("it is there");
+        let written = cancel(&view, &id.into(), limits).expect("it is there");
         golden.same(
             &format!("transactions/withdraw_{form}.cbor"),
             &encode(&written),
@@ -233,7 +247,7 @@
 
 /// What is only written: the answer about served shares, and the reasons why jobs wait.
 fn served_rows(golden: &Golden) {
-    let row = Row {
+    let row = ServiceLevelRow {
         class: "train".into(),
         team: "free".into(),
         accepted: 9,
@@ -245,13 +259,13 @@
     };
     golden.same("wire/served_rows.cbor", &encode(&vec![row]));
     let reasons = [
-        Why::Needs,
-        Why::LastAttempt,
-        Why::Failed,
-        Why::Limit,
-        Why::Room,
-        Why::Turn,
-        Why::Image,
+        PendingReason::Dependency,
+        PendingReason::LastAttempt,
+        PendingReason::Backoff,
+        PendingReason::TeamLimit,
+        PendingReason::NoCapacity,
+        PendingReason::QueueOrder,
+        PendingReason::ImageFetch,
     ];
     golden.same("wire/reasons.cbor", &encode(&reasons));
 }
@@ -262,8 +276,8 @@
         keys::ALL.into(),
         keys::LAYOUT.into(),
         keys::LEADER.into(),
-        keys::RAISES.into(),
-        keys::SERVED.into(),
+        keys::PRIORITY_BOOSTS.into(),
+        keys::SERVICE_LEVELS.into(),
         keys::TYPES.into(),
         keys::job("req-000412"),
         keys::block("req-000412", 3),
@@ -272,13 +286,13 @@
         keys::machine_type("g8"),
         keys::machine_type("a type\twith spaces and more than forty characters"),
         keys::version("node-a"),
-        keys::fin("req-000412"),
-        keys::host("m-000017"),
-        keys::charter("c-node-a-1"),
+        keys::finished_job("req-000412"),
+        keys::machine("m-000017"),
+        keys::scale_out_request("c-node-a-1"),
         keys::leaving("l-node-a-1"),
         keys::counts("node-a"),
         keys::member("node-a"),
-        keys::part(11),
+        keys::shard(11),
         keys::team("free"),
         keys::team("a team\nwith spaces and more than forty characters"),
     ];
@@ -316,11 +330,11 @@
     let address = |text: &str| -> std::net::SocketAddr { text.parse().expect("address") };
     assert_eq!(parsed.node, "node-a");
     assert_eq!(parsed.zone, "north-a");
-    assert_eq!(parsed.front, address("10.0.0.1:8080"));
+    assert_eq!(parsed.listen, address("10.0.0.1:8080"));
     assert_eq!(parsed.peer_bind, address("10.0.0.1:8081"));
-    let siblings: Vec<_> = parsed.siblings.iter().map(|s| (&*s.name, s.addr)).collect();
+    let peers: Vec<_> = parsed.peers.iter().map(|s| (&*s.name, s.address)).collect();
     assert_eq!(
-        siblings,
+        peers,
         [
             ("node-b", address("10.0.0.2:8081")),
             ("node-c", address("10.0.0.3:8081"))
@@ -329,7 +343,7 @@
     assert_eq!(parsed.cloud, address("10.0.1.1:9001"));
     assert_eq!(parsed.state, address("10.0.1.2:9002"));
     assert_eq!(parsed.zones, ["north-a", "north-b"]);
-    assert_eq!(parsed.skew, 250_500);
+    assert_eq!(parsed.clock_skew, 250_500);
     let teams: Vec<_> = parsed
         .teams
         .iter()
@@ -355,30 +369,30 @@
             (ObjectiveKind::Deadline, "report", 0, 0.85, 1_250)
         ]
     );
-    assert_eq!(parsed.report, 3_100_000);
-    assert_eq!(parsed.lease, 18_200_000);
+    assert_eq!(parsed.heartbeat_interval, 3_100_000);
+    assert_eq!(parsed.worker_lease, 18_200_000);
     assert_eq!(parsed.gang_wait, 40_300_000);
     assert_eq!(parsed.gang_peer, 5_400_000);
-    assert_eq!(parsed.cancel, 48_500_000);
+    assert_eq!(parsed.cancel_within, 48_500_000);
     let limits = StateLimits {
         rps: 200.5,
         write_rps: 40.25,
-        value_bytes: 32_768,
-        txn_ops: 16,
+        max_value_bytes: 32_768,
+        max_mutations: 16,
     };
-    assert_eq!(parsed.limits, limits);
+    assert_eq!(parsed.state_limits, limits);
     let next = StateLimits {
         rps: 100.5,
         write_rps: 20.25,
-        value_bytes: 2_048,
-        txn_ops: 8,
+        max_value_bytes: 2_048,
+        max_mutations: 8,
     };
-    assert_eq!(parsed.next, Some(next));
+    assert_eq!(parsed.next_state_limits, Some(next));
     assert_eq!(parsed.cloud_rps, 6.5);
     assert_eq!(parsed.list_lag, 6_600_000);
     assert_eq!(parsed.max_connections, 2500);
     assert_eq!(parsed.core_share, 0.75);
-    assert_eq!(parsed.ram_mb, 512.5);
+    assert_eq!(parsed.memory_mb, 512.5);
 }
 
 /// All that a test of this file reads.
@@ -455,12 +469,16 @@
 #[test]
 fn unknown_words() {
     let golden = Golden::default();
-    let causes: Vec<Cause> = decode(&golden.bytes("wire/causes.sparse.cbor")).expect("causes");
-    assert_eq!(causes, [Cause::Other]);
-    let orders: Orders = decode(&golden.bytes("wire/orders.full.cbor")).expect("orders");
+    let causes: Vec<ExitReason> = decode(&golden.bytes("wire/causes.sparse.cbor")).expect("causes");
+    assert_eq!(causes, [ExitReason::Other]);
+    let commands: CommandBatch = decode(&golden.bytes("wire/orders.full.cbor")).expect("orders");
     assert!(matches!(
-        orders.orders[..],
-        [Order::Start { .. }, Order::Stop { .. }, Order::Clear { .. }]
+        commands.commands[..],
+        [
+            Command::Start { .. },
+            Command::Stop { .. },
+            Command::Forget { .. }
+        ]
     ));
 }
 
@@ -468,44 +486,59 @@
 #[test]
 fn keys_read_back() {
     let golden = Golden::default();
-    let mut view = View::default();
+    let mut view = ClusterState::default();
     let mut put = |key: String, value: &str| {
         let value: Value = decode(&golden.bytes(&format!("state/{value}.cbor"))).expect("CBOR");
         view.put(&key, &value, 5);
     };
     let id = "req-000412";
     // Keys of a job that is not known are named again from what was read of them.
-    let parts = [
+    let shards = [
         (keys::block(id, 3), "block_plain.full"),
         (keys::slots(id, 3, 64, 2), "block.full"),
         (keys::needs(id, 1), "needs.full"),
     ];
-    for (key, value) in parts.clone() {
+    for (key, value) in shards.clone() {
         put(key, value);
     }
     put(keys::member("node-a"), "member.full");
     put(keys::LEADER.into(), "leader.full");
-    put(keys::part(11), "part.full");
+    put(keys::shard(11), "part.full");
     put(keys::version("node-a"), "version.full");
     put(keys::LAYOUT.into(), "version.full");
-    put(keys::host("m-000099"), "host.full");
-    put(keys::charter("c-node-a-1"), "charter.full");
+    put(keys::machine("m-000099"), "host.full");
+    put(keys::scale_out_request("c-node-a-1"), "charter.full");
     put(keys::leaving("l-node-a-1"), "leaving.least");
     put(keys::counts("node-a"), "counts.full");
-    put(keys::RAISES.into(), "raises.full");
-    put(keys::SERVED.into(), "served.full");
+    put(keys::PRIORITY_BOOSTS.into(), "raises.full");
+    put(keys::SERVICE_LEVELS.into(), "served.full");
     put(keys::TYPES.into(), "types.full");
     put(keys::machine_type("c4"), "type.least");
-    put(keys::fin("req-000411"), "final.full");
-    let orphans: BTreeSet<String> = view.orphans().into_iter().map(|(_, key)| key).collect();
-    assert_eq!(orphans, parts.into_iter().map(|(key, _)| key).collect());
+    put(keys::finished_job("req-000411"), "final.full");
+    let orphaned_keys: BTreeSet<String> = view
+        .orphaned_keys()
+        .into_iter()
+        .map(|(_, key)| key)
+        .collect();
+    assert_eq!(
+        orphaned_keys,
+        shards.into_iter().map(|(key, _)| key).collect()
+    );
     assert!(view.members.contains_key("node-a") && view.versions.contains_key("node-a"));
     assert!(view.leader.is_some() && view.layout.is_some());
-    assert!(view.parts.contains_key(&11) && view.hosts.contains_key("m-000099"));
-    assert!(view.charters.contains_key("c-node-a-1") && view.leaving.contains_key("l-node-a-1"));
-    assert!(view.counts.contains_key("node-a") && view.raises != Raises::default());
-    assert!(view.served != Served::default() && view.fin("req-000411").is_some());
-    assert!(view.types.contains_key("g8") && view.types.contains_key("c4"));
+    assert!(view.shards.contains_key(&11) && view.machines.contains_key("m-000099"));
+    assert!(
+        view.scale_out_requests.contains_key("c-node-a-1")
+            && view.termination_batches.contains_key("l-node-a-1")
+    );
+    assert!(
+        view.counts.contains_key("node-a") && view.priority_boosts != PriorityBoosts::default()
+    );
+    assert!(
+        view.service_levels != ServiceLevels::default()
+            && view.finished_job("req-000411").is_some()
+    );
+    assert!(view.machine_types.contains_key("g8") && view.machine_types.contains_key("c4"));
     let record: Value = decode(&golden.bytes("state/record_packed.full.cbor")).expect("CBOR");
     view.put(&keys::job(id), &record, 6);
     assert!(view.jobs.contains_key(id));
--- a/tests/incarnations.rs
+++ b/tests/incarnations.rs
@@ -4,11 +4,11 @@
 mod common;
 
 use common::Store;
-use coppergw::membership::claim::{self, Lead, Life};
-use coppergw::membership::{Member, PARTS, VERSION};
-use coppergw::store::cluster_state::View;
+use coppergw::membership::claim::{self, Incarnation, LeaderStatus};
+use coppergw::membership::{Member, SHARD_COUNT, VERSION};
+use coppergw::store::cluster_state::ClusterState;
 use coppergw::time::SECOND;
-use coppergw::wire::state::{Change, Txn};
+use coppergw::wire::state::{Mutation, Transaction};
 use foldhash::HashSet;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
 struct Process {
     lease: Option<u64>,
     wanted: Option<Member>,
-    view: View,
+    view: ClusterState,
     seen: usize,
 }
 
@@ -32,7 +32,7 @@
     given: u64,
     processes: [Option<Process>; 3],
     /// Requests that nobody answered; each may arrive at any time, and more than once.
-    late: Vec<Txn>,
+    late: Vec<Transaction>,
     /// Who got which term of which part.
     terms: BTreeMap<(u32, u64), (String, u64)>,
     takes: u32,
@@ -57,16 +57,16 @@
         self.processes[n] = Some(Process {
             lease: None,
             wanted: None,
-            view: View::default(),
+            view: ClusterState::default(),
             seen: 0,
         });
     }
 
     /// The service carries a transaction out: whether it did, or `None` if a lease has ended.
-    fn apply(&mut self, t: &Txn) -> Option<bool> {
-        let permits = t.then.iter().filter_map(|c| match c {
-            Change::Put { permit, .. } => *permit,
-            Change::Delete { .. } => None,
+    fn apply(&mut self, t: &Transaction) -> Option<bool> {
+        let permits = t.mutations.iter().filter_map(|c| match c {
+            Mutation::Put { lease: permit, .. } => *permit,
+            Mutation::Delete { .. } => None,
         });
         if permits.into_iter().any(|p| !self.leases.contains_key(&p)) {
             return None;
@@ -74,20 +74,30 @@
         if !self.store.apply(t) {
             return Some(false);
         }
-        for c in &t.then {
+        for c in &t.mutations {
             for keys in self.leases.values_mut() {
                 keys.remove(c.key());
             }
-            if let Change::Put { put, v, permit } = c {
+            if let Mutation::Put {
+                key: put,
+                value: v,
+                lease: permit,
+            } = c
+            {
                 if let Some(p) = permit {
                     self.leases.entry(*p).or_default().insert(put.clone());
                 }
-                if let Some(part) = put.strip_prefix("c/part/") {
-                    let p: coppergw::membership::Part = v.deserialized().expect("part");
-                    let part: u32 = part.parse().expect("number");
-                    let highest = self.terms.keys().filter(|k| k.0 == part).map(|k| k.1).max();
+                if let Some(shard) = put.strip_prefix("c/part/") {
+                    let p: coppergw::membership::Shard = v.deserialized().expect("part");
+                    let shard: u32 = shard.parse().expect("number");
+                    let highest = self
+                        .terms
+                        .keys()
+                        .filter(|k| k.0 == shard)
+                        .map(|k| k.1)
+                        .max();
                     assert!(highest.is_none_or(|h| h < p.term), "a term was given twice");
-                    self.terms.insert((part, p.term), (p.owner, p.lease));
+                    self.terms.insert((shard, p.term), (p.owner, p.lease));
                     self.takes += 1;
                 }
             }
@@ -97,9 +107,9 @@
 
     fn end_lease(&mut self, lease: u64) {
         for key in self.leases.remove(&lease).unwrap_or_default() {
-            self.store.apply(&Txn {
-                guards: Vec::new(),
-                then: vec![Change::Delete { remove: key }],
+            self.store.apply(&Transaction {
+                preconditions: Vec::new(),
+                mutations: vec![Mutation::Delete { key }],
             });
         }
     }
@@ -115,11 +125,11 @@
             }
         }
         p.seen = self.store.log.len();
-        p.view.rev = self.store.rev;
+        p.view.revision = self.store.rev;
     }
 
     /// Sends a transaction. `fate`: carried out and answered, carried out without an answer, on its way.
-    fn send(&mut self, n: usize, t: Txn, fate: u8) {
+    fn send(&mut self, n: usize, t: Transaction, fate: u8) {
         match fate % 4 {
             0 | 1 => {
                 if self.apply(&t).is_none()
@@ -153,23 +163,23 @@
             let (Some(lease), Some(wanted)) = (p.lease, &p.wanted) else {
                 return;
             };
-            let life = Life {
+            let incarnation = Incarnation {
                 node: NAMES[n],
                 lease,
             };
             let t = match step {
-                0 => claim::name(&p.view, life, wanted),
-                1 => claim::parts(
+                0 => claim::name(&p.view, incarnation, wanted),
+                1 => claim::shards(
                     &p.view,
                     &p.view.members,
-                    life,
+                    incarnation,
                     &mut HashSet::default(),
                     self.now,
                     OPS,
                 ),
-                _ => match claim::lead(&p.view, &p.view.members, life, self.now) {
-                    Lead::Vacant(t) => Some(t),
-                    Lead::Ours | Lead::Other => None,
+                _ => match claim::lead(&p.view, &p.view.members, incarnation, self.now) {
+                    LeaderStatus::Vacant(t) => Some(t),
+                    LeaderStatus::This | LeaderStatus::Other => None,
                 },
             };
             if let Some(t) = t {
@@ -204,11 +214,11 @@
             _ => self.now += u64::from(b) * SECOND / 50,
         }
         // No two lives drive a part under one term, whatever they believe of themselves.
-        for part in 0..PARTS {
+        for shard in 0..SHARD_COUNT {
             let mut owners: Vec<(u64, u64)> = Vec::new();
             for (k, p) in self.processes.iter().enumerate() {
                 let Some(p) = p else { continue };
-                let Some(x) = p.view.parts.get(&part) else {
+                let Some(x) = p.view.shards.get(&shard) else {
                     continue;
                 };
                 if x.owner == NAMES[k] && Some(x.lease) == p.lease {
@@ -256,12 +266,12 @@
         }
         let alive = |node: &str, lease| v.members.get(node).is_some_and(|m| m.lease == lease);
         let mut load: BTreeMap<&str, u32> = BTreeMap::new();
-        for n in 0..PARTS {
-            let p = v.parts.get(&n).expect("taken");
+        for n in 0..SHARD_COUNT {
+            let p = v.shards.get(&n).expect("taken");
             assert!(alive(&p.owner, p.lease), "a part of an ended life");
             *load.entry(&p.owner).or_default() += 1;
         }
-        assert!(load.values().all(|l| *l == PARTS / 3), "{load:?}");
+        assert!(load.values().all(|l| *l == SHARD_COUNT / 3), "{load:?}");
         let l = v.leader.as_ref().expect("a leader");
         assert!(alive(&l.node, l.lease), "an ended life leads");
     }
@@ -301,8 +311,8 @@
     w.round(0, 0);
     assert_eq!(w.apply(&late), Some(false));
     // Without the condition it would be carried out; the new life then says so again.
-    let bare = Txn {
-        guards: Vec::new(),
+    let bare = Transaction {
+        preconditions: Vec::new(),
         ..late
     };
     assert_eq!(w.apply(&bare), Some(true));
@@ -361,11 +371,11 @@
         }
         w.now += SECOND;
     }
-    let (moved, parts) = (w.takes - before, PARTS / 3);
-    assert!(moved <= 2 * parts, "{moved} takes of {parts} parts");
+    let (moved, shards) = (w.takes - before, SHARD_COUNT / 3);
+    assert!(moved <= 2 * shards, "{moved} takes of {shards} parts");
     let owns = |w: &World| {
         let p = w.processes[0].as_ref().expect("started");
-        p.view.parts.values().filter(|x| x.owner == "c").count()
+        p.view.shards.values().filter(|x| x.owner == "c").count()
     };
     assert_eq!(owns(&w), 0);
     let leader = |w: &World| {
@@ -380,7 +390,7 @@
         }
         w.now += SECOND;
     }
-    assert_eq!(owns(&w), parts as usize, "it stayed, and has its share");
+    assert_eq!(owns(&w), shards as usize, "it stayed, and has its share");
 }
 
 /// If all of them end again and again there is nobody better: each life takes what it can.
@@ -400,8 +410,8 @@
         }
         w.sync(0);
         let v = &w.processes[0].as_ref().expect("started").view;
-        for part in 0..PARTS {
-            let p = v.parts.get(&part).expect("taken");
+        for shard in 0..SHARD_COUNT {
+            let p = v.shards.get(&shard).expect("taken");
             assert!(v.members.get(&p.owner).is_some_and(|m| m.lease == p.lease));
         }
         assert!(v.leader.is_some());
