--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -8,21 +8,23 @@
 mod common;
 
 use common::{LIMITS, Store};
-use coppergw::autoscaler::model::{Host, HostState};
-use coppergw::ids::HostId;
-use coppergw::jobs::commit::{Intent, stage};
-use coppergw::jobs::model::{Block, JobId, Placement, Record, Room, Slot, Spec};
-use coppergw::membership::{Member, PARTS, Part, assign, part_of};
-use coppergw::scheduling::{Open, Scene, plan};
-use coppergw::store::cluster_state::View;
+use coppergw::autoscaler::model::{MachineRecord, MachineState};
+use coppergw::ids::MachineId;
+use coppergw::jobs::commit::{JobChange, stage};
+use coppergw::jobs::model::{
+    JobId, JobRecord, JobSpec, Placement, Resources, TaskBlock, TaskState,
+};
+use coppergw::membership::{Member, SHARD_COUNT, Shard, assign, shard_of};
+use coppergw::scheduling::{SchedulableMachine, SchedulingInput, schedule};
+use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
 use coppergw::time::{Micros, SECOND};
 use coppergw::wire::cloud::MachineType;
-use coppergw::wire::state::{Change, Guard, Txn};
+use coppergw::wire::state::{Mutation, Precondition, Transaction};
 use coppergw::wire::to_value;
-use coppergw::wire::user::{Rank, Shape};
-use coppergw::wire::worker::{Cause, Order, Report, TaskReport, TaskStatus};
-use coppergw::workers::{Machine, may_answer, orders, reconcile};
+use coppergw::wire::user::{JobKind, Priority};
+use coppergw::wire::worker::{Command, ExitReason, Heartbeat, ReportedTask, TaskStatus};
+use coppergw::workers::{WorkerState, commands, may_answer, reconcile};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -33,61 +35,61 @@
 const GANG_WAIT: Micros = 40 * SECOND;
 const NODES: usize = 3;
 /// One job in so many is a gang, of so many tasks.
-const GANGS: u32 = 5;
+const GANG_SHARD: u32 = 5;
 const GANG_TASKS: u32 = 3;
 
 #[derive(Clone)]
 struct Task {
     attempt: u64,
     status: TaskStatus,
-    cause: Option<Cause>,
+    cause: Option<ExitReason>,
     since: Micros,
 }
 
 impl Task {
-    fn exit(&mut self, cause: Cause) {
+    fn exit(&mut self, cause: ExitReason) {
         self.status = TaskStatus::Exited;
         self.cause = Some(cause);
     }
 }
 
 struct Worker {
-    name: HostId,
+    name: MachineId,
     alive: bool,
     session: u64,
     tick: u64,
     token: u64,
     renewed: Micros,
-    deaf: bool,
-    mute: bool,
+    outbound_partition: bool,
+    inbound_partition: bool,
     hung: bool,
     tasks: BTreeMap<String, Task>,
 }
 
-struct Node {
+struct Controller {
     name: String,
     lease: u64,
-    view: View,
+    view: ClusterState,
     seen: usize,
     /// When it heard everything last: up to then it knows of every cancellation.
     synced: Micros,
     /// The state service refuses it.
     cut: bool,
-    machines: BTreeMap<HostId, Machine>,
+    machines: BTreeMap<MachineId, WorkerState>,
 }
 
 #[derive(Clone)]
 enum Late {
-    Txn(Txn),
-    Orders(usize, u64, u64, Vec<Order>),
-    Report(usize, Report),
+    Transaction(Transaction),
+    CommandBatch(usize, u64, u64, Vec<Command>),
+    Heartbeat(usize, Heartbeat),
 }
 
 struct World {
     now: Micros,
     store: Store,
     workers: Vec<Worker>,
-    nodes: Vec<Node>,
+    nodes: Vec<Controller>,
     late: Vec<Late>,
     leases: u64,
     jobs: u32,
@@ -103,15 +105,15 @@
     common::machine_type("t", 4.0, 0.0)
 }
 
-fn spec(kind: Shape, tasks: u32, at: Micros) -> Spec {
-    Spec {
-        rank: if kind == Shape::Service {
-            Rank::Production
+fn spec(kind: JobKind, tasks: u32, at: Micros) -> JobSpec {
+    JobSpec {
+        priority: if kind == JobKind::Service {
+            Priority::Production
         } else {
-            Rank::Normal
+            Priority::Normal
         },
-        spot: false,
-        submitted: at,
+        allow_spot: false,
+        submitted_at: at,
         ..common::spec(kind, tasks)
     }
 }
@@ -136,33 +138,33 @@
             w.rent();
         }
         for n in 0..NODES {
-            w.nodes.push(Node {
+            w.nodes.push(Controller {
                 name: format!("n{n}"),
                 lease: 0,
-                view: View::default(),
+                view: ClusterState::default(),
                 seen: 0,
                 synced: 0,
                 cut: false,
                 machines: BTreeMap::new(),
             });
             w.sync(n);
-            w.parts(n);
+            w.shards(n);
         }
         w
     }
 
     fn rent(&mut self) {
-        let name: HostId = format!("m-{:06}", self.workers.len()).into();
+        let name: MachineId = format!("m-{:06}", self.workers.len()).into();
         self.store.put(
-            keys::host(&name),
-            &Host {
-                kind: "t".into(),
+            keys::machine(&name),
+            &MachineRecord {
+                machine_type: "t".into(),
                 zone: "z".into(),
                 spot: false,
-                addr: None,
+                address: None,
                 session: 1,
-                state: HostState::Up,
-                rented: 0,
+                state: MachineState::Up,
+                rented_at: 0,
             },
         );
         self.workers.push(Worker {
@@ -172,8 +174,8 @@
             tick: 0,
             token: 0,
             renewed: self.now,
-            deaf: false,
-            mute: false,
+            outbound_partition: false,
+            inbound_partition: false,
             hung: false,
             tasks: BTreeMap::new(),
         });
@@ -192,7 +194,7 @@
             let m = Member {
                 lease: self.leases,
                 since: 0,
-                shunned: false,
+                unreachable_by_workers: false,
                 version: 0,
                 ends: 0,
             };
@@ -207,67 +209,67 @@
         }
         node.seen = self.store.log.len();
         node.synced = self.now;
-        node.view.rev = self.store.rev;
+        node.view.revision = self.store.rev;
     }
 
-    fn term(&self, n: usize, part: u32) -> Option<u64> {
+    fn term(&self, n: usize, shard: u32) -> Option<u64> {
         let node = &self.nodes[n];
-        let p = node.view.parts.get(&part)?;
+        let p = node.view.shards.get(&shard)?;
         (p.owner == node.name
             && p.lease == node.lease
-            && node.view.rev >= node.view.stamp(&keys::part(part)))
+            && node.view.revision >= node.view.version(&keys::shard(shard)))
         .then_some(p.term)
     }
 
-    fn parts(&mut self, n: usize) {
+    fn shards(&mut self, n: usize) {
         if self.nodes[n].cut {
             return;
         }
         let node = &self.nodes[n];
-        let want = assign(&node.view.parts, &node.view.members, self.now);
-        let mut t = Txn::default();
-        for p in 0..PARTS {
-            let have = node.view.parts.get(&p);
+        let want = assign(&node.view.shards, &node.view.members, self.now);
+        let mut t = Transaction::default();
+        for p in 0..SHARD_COUNT {
+            let have = node.view.shards.get(&p);
             let ours = have.is_some_and(|x| x.owner == node.name && x.lease == node.lease);
-            let stuck = node
+            let blocked_by_unacknowledged_start = node
                 .machines
                 .iter()
-                .any(|(id, m)| part_of(id) == p && m.stuck());
-            if want.get(&p) == Some(&node.name) && (!ours || stuck) {
-                let key = keys::part(p);
-                t.guards.push(Guard {
-                    path: key.clone(),
-                    stamp: node.view.stamp(&key),
+                .any(|(id, m)| shard_of(id) == p && m.blocked_by_unacknowledged_start());
+            if want.get(&p) == Some(&node.name) && (!ours || blocked_by_unacknowledged_start) {
+                let key = keys::shard(p);
+                t.preconditions.push(Precondition {
+                    key: key.clone(),
+                    version: node.view.version(&key),
                 });
-                t.then.push(Change::Put {
-                    put: key,
-                    v: to_value(&Part {
+                t.mutations.push(Mutation::Put {
+                    key,
+                    value: to_value(&Shard {
                         owner: node.name.clone(),
                         lease: node.lease,
                         term: have.map_or(0, |x| x.term) + 1,
                     }),
-                    permit: None,
+                    lease: None,
                 });
             }
         }
-        if !t.then.is_empty() {
+        if !t.mutations.is_empty() {
             self.store.apply(&t);
         }
     }
 
     fn adopt(&mut self, n: usize) {
-        let ids: Vec<HostId> = self.nodes[n].view.hosts.keys().cloned().collect();
-        let terms: Vec<Option<u64>> = (0..PARTS).map(|p| self.term(n, p)).collect();
+        let ids: Vec<MachineId> = self.nodes[n].view.machines.keys().cloned().collect();
+        let terms: Vec<Option<u64>> = (0..SHARD_COUNT).map(|p| self.term(n, p)).collect();
         let now = self.now;
         let node = &mut self.nodes[n];
         node.machines
-            .retain(|id, m| terms[part_of(id) as usize] == Some(m.term));
-        let gone: Vec<HostId> = node.view.on_host.keys().cloned().collect();
+            .retain(|id, m| terms[shard_of(id) as usize] == Some(m.term));
+        let gone: Vec<MachineId> = node.view.tasks_by_machine.keys().cloned().collect();
         for id in ids.into_iter().chain(gone) {
-            if let Some(t) = terms[part_of(&id) as usize] {
+            if let Some(t) = terms[shard_of(&id) as usize] {
                 node.machines
                     .entry(id)
-                    .or_insert_with(|| Machine::new(t, now));
+                    .or_insert_with(|| WorkerState::new(t, now));
             }
         }
     }
@@ -275,16 +277,16 @@
     /// One control pass. `fate`: carried out, carried out without an answer, or late.
     fn pass(&mut self, n: usize, fate: u8) {
         self.adopt(n);
-        let terms: Vec<Option<u64>> = (0..PARTS).map(|p| self.term(n, p)).collect();
+        let terms: Vec<Option<u64>> = (0..SHARD_COUNT).map(|p| self.term(n, p)).collect();
         let node = &self.nodes[n];
         let mut intents = Vec::new();
-        let mut freed: HashMap<HostId, Room> = HashMap::new();
+        let mut freed: HashMap<MachineId, Resources> = HashMap::new();
         for (id, m) in &node.machines {
             let mut lefts = Vec::new();
             reconcile(&node.view, id, m, LEASE, self.now, &mut lefts);
             for i in &lefts {
-                let room = node.view.jobs[i.job()].spec.room;
-                freed.entry(id.clone()).or_default().give(&room);
+                let room = node.view.jobs[i.job()].spec.resources;
+                freed.entry(id.clone()).or_default().add(&room);
             }
             // Bookkeeping may wait: the room is used again before the exit is written.
             if fate < 128 {
@@ -292,53 +294,55 @@
             }
         }
         for (id, j) in &node.view.jobs {
-            if (j.spec.cancelled && j.placed == 0) || j.done == j.spec.tasks {
-                intents.push(Intent::Settle { job: id.clone() });
+            if (j.spec.cancelled && j.placed == 0) || j.done == j.spec.task_count {
+                intents.push(JobChange::Finalize { job: id.clone() });
             }
         }
-        let open = |id: &HostId, h: &Host| {
-            if h.state != HostState::Up {
+        let open = |id: &MachineId, h: &MachineRecord| {
+            if h.state != MachineState::Up {
                 return None;
             }
             match node.machines.get(id) {
-                Some(m) => (m.fenced() && self.now - m.heard < 6 * SECOND).then_some(Open {
-                    session: m.session,
-                    mine: true,
-                }),
-                None => Some(Open {
+                Some(m) => {
+                    (m.fenced() && self.now - m.heard < 6 * SECOND).then_some(SchedulableMachine {
+                        session: m.session,
+                        owned: true,
+                    })
+                }
+                None => Some(SchedulableMachine {
                     session: h.session,
-                    mine: false,
+                    owned: false,
                 }),
             }
         };
-        let mine = |h: &str| terms[part_of(h) as usize].is_some();
-        let p = plan(&Scene {
+        let mine = |h: &str| terms[shard_of(h) as usize].is_some();
+        let p = schedule(&SchedulingInput {
             view: &node.view,
-            wall: self.now,
+            wall_clock: self.now,
             teams: &[],
             objectives: &[],
-            open: &open,
+            schedulable: &open,
             freed: &freed,
-            held_back: &|_| false,
-            home: &mine,
-            mine: &mine,
-            gangs: terms[0].is_some(),
-            arrays: true,
-            steps: true,
+            in_backoff: &|_| false,
+            owns_job: &mine,
+            owns_machine: &mine,
+            place_gangs: terms[0].is_some(),
+            place_arrays: true,
+            place_deadline_steps: true,
             forecast: false,
-            writes: None,
+            write_limit: None,
         });
-        intents.extend(p.intents);
+        intents.extend(p.changes);
         if fate % 32 >= 24 {
             // Somebody makes room, or drains: a task that has to go and starts again elsewhere. What is wrongly
             // believed to have left shows only here.
-            let own = |p: &&(u32, &Placement)| p.1.stop.is_none() && mine(&p.1.host);
+            let own = |p: &&(u32, &Placement)| p.1.stop.is_none() && mine(&p.1.machine);
             let jobs = node.view.jobs.iter().skip(fate as usize / 32);
             let hit = jobs
                 .flat_map(|(id, j)| j.placements().map(move |p| (id, p)))
                 .find(|(_, p)| own(&p));
             if let Some((id, (index, p))) = hit {
-                intents.push(Intent::Stop {
+                intents.push(JobChange::Stop {
                     job: id.clone(),
                     index,
                     attempt: p.attempt,
@@ -348,27 +352,27 @@
         }
         let mut sessions = Vec::new();
         for (id, m) in &node.machines {
-            if let Some(h) = node.view.hosts.get(id)
+            if let Some(h) = node.view.machines.get(id)
                 && m.fenced()
                 && m.session > h.session
             {
-                let key = keys::host(id);
-                let guards = [key.clone(), keys::part(part_of(id))]
-                    .map(|path| Guard {
-                        stamp: node.view.stamp(&path),
-                        path,
+                let key = keys::machine(id);
+                let preconditions = [key.clone(), keys::shard(shard_of(id))]
+                    .map(|path| Precondition {
+                        version: node.view.version(&path),
+                        key: path,
                     })
                     .to_vec();
                 let session = m.session;
-                sessions.push(Txn {
-                    guards,
-                    then: vec![Change::Put {
-                        put: key,
-                        v: to_value(&Host {
+                sessions.push(Transaction {
+                    preconditions,
+                    mutations: vec![Mutation::Put {
+                        key,
+                        value: to_value(&MachineRecord {
                             session,
                             ..h.clone()
                         }),
-                        permit: None,
+                        lease: None,
                     }],
                 });
             }
@@ -382,35 +386,35 @@
             match fate % 4 {
                 // What is sent to a service that refuses may have been on its way before.
                 1.. if cut => {}
-                0 => self.late.push(Late::Txn(s.txn)),
+                0 => self.late.push(Late::Transaction(s.transaction)),
                 _ => {
-                    self.store.apply(&s.txn);
+                    self.store.apply(&s.transaction);
                 }
             }
         }
     }
 
-    fn report(&mut self, w: usize) -> Report {
+    fn report(&mut self, w: usize) -> Heartbeat {
         let x = &mut self.workers[w];
         x.tick += 1;
-        Report {
-            deckhand: x.name.to_string(),
+        Heartbeat {
+            machine: x.name.to_string(),
             address: String::new(),
-            rig: "t".into(),
-            yard: "z".into(),
-            loaners: false,
-            shift: x.session,
-            tick: x.tick,
-            baton: x.token,
-            recall_s: None,
-            shards: x
+            machine_type: "t".into(),
+            zone: "z".into(),
+            spot: false,
+            session: x.session,
+            sequence: x.tick,
+            fencing_token: x.token,
+            preemption_notice_s: None,
+            tasks: x
                 .tasks
                 .iter()
-                .map(|(k, t)| TaskReport {
-                    shard: k.clone(),
+                .map(|(k, t)| ReportedTask {
+                    task: k.clone(),
                     attempt: t.attempt,
                     status: t.status,
-                    cause: t.cause,
+                    reason: t.cause,
                     saved: None,
                 })
                 .collect(),
@@ -418,10 +422,10 @@
     }
 
     /// A controller gets a report and gives orders with its token, if the machine is its own.
-    fn answer(&mut self, n: usize, r: &Report) -> Option<(u64, Vec<Order>)> {
-        let id: HostId = r.deckhand.as_str().into();
-        let term = self.term(n, part_of(&id))?;
-        if r.baton > term || !may_answer(LEASE, CANCEL, self.nodes[n].synced, self.now) {
+    fn answer(&mut self, n: usize, r: &Heartbeat) -> Option<(u64, Vec<Command>)> {
+        let id: MachineId = r.machine.as_str().into();
+        let term = self.term(n, shard_of(&id))?;
+        if r.fencing_token > term || !may_answer(LEASE, CANCEL, self.nodes[n].synced, self.now) {
             return None;
         }
         let now = self.now;
@@ -429,15 +433,15 @@
         let m = node
             .machines
             .entry(id.clone())
-            .or_insert_with(|| Machine::new(term, now));
+            .or_insert_with(|| WorkerState::new(term, now));
         if m.term != term {
-            *m = Machine::new(term, now);
+            *m = WorkerState::new(term, now);
         }
-        let newer = (r.shift, r.tick) > (m.session, m.tick);
+        let newer = (r.session, r.sequence) > (m.session, m.tick);
         m.take(r, false, now);
         m.answered = Some(now);
         let list = if newer {
-            orders(&node.view, &id, m, true)
+            commands(&node.view, &id, m, true)
         } else {
             Vec::new()
         };
@@ -445,19 +449,29 @@
         Some((term, list))
     }
 
-    fn execute(&mut self, w: usize, list: &[Order]) {
+    fn execute(&mut self, w: usize, list: &[Command]) {
         for o in list {
             match o {
-                Order::Start { shard, attempt } => self.start(w, shard, *attempt),
-                Order::Stop { shard, attempt, .. } => {
+                Command::Start {
+                    task: shard,
+                    attempt,
+                } => self.start(w, shard, *attempt),
+                Command::Stop {
+                    task: shard,
+                    attempt,
+                    ..
+                } => {
                     if let Some(t) = self.workers[w].tasks.get_mut(shard)
                         && t.attempt == *attempt
                         && t.status != TaskStatus::Exited
                     {
-                        t.exit(Cause::Stopped);
+                        t.exit(ExitReason::Stopped);
                     }
                 }
-                Order::Clear { shard, attempt } => {
+                Command::Forget {
+                    task: shard,
+                    attempt,
+                } => {
                     let x = &mut self.workers[w].tasks;
                     if x.get(shard)
                         .is_some_and(|t| t.attempt == *attempt && t.status == TaskStatus::Exited)
@@ -504,7 +518,7 @@
                     (false, true) => TaskStatus::Waiting,
                     (false, false) => TaskStatus::Running,
                 },
-                cause: done.then_some(Cause::Done),
+                cause: done.then_some(ExitReason::Done),
                 since: self.now,
             },
         );
@@ -546,8 +560,10 @@
                         t.status = TaskStatus::Running;
                         self.whole += 1;
                     }
-                    TaskStatus::Waiting if now - t.since > GANG_WAIT => t.exit(Cause::Incomplete),
-                    TaskStatus::Running if !all => t.exit(Cause::Peers),
+                    TaskStatus::Waiting if now - t.since > GANG_WAIT => {
+                        t.exit(ExitReason::Incomplete)
+                    }
+                    TaskStatus::Running if !all => t.exit(ExitReason::Peers),
                     _ => {}
                 }
             }
@@ -569,24 +585,24 @@
 
     /// A worker reports to a node; the answer comes back or is lost.
     fn exchange(&mut self, w: usize, n: usize, fate: u8) {
-        if !self.workers[w].alive || self.workers[w].mute || self.workers[w].hung {
+        if !self.workers[w].alive || self.workers[w].inbound_partition || self.workers[w].hung {
             return;
         }
         let sent = self.now;
         let r = self.report(w);
         if fate.is_multiple_of(8) {
-            self.late.push(Late::Report(n, r));
+            self.late.push(Late::Heartbeat(n, r));
             return;
         }
         if fate >= 24 {
             // A copy of it arrives again later.
-            self.late.push(Late::Report(n, r.clone()));
+            self.late.push(Late::Heartbeat(n, r.clone()));
         }
         let Some((token, list)) = self.answer(n, &r) else {
             return;
         };
         let x = &mut self.workers[w];
-        if fate % 8 == 1 || x.deaf || token < x.token || r.shift != x.session {
+        if fate % 8 == 1 || x.outbound_partition || token < x.token || r.session != x.session {
             return;
         }
         x.token = token;
@@ -604,18 +620,18 @@
         };
         let session = if m.session > 0 { m.session } else { 1 };
         let list = if m.fenced() {
-            orders(&node.view, &id, m, false)
+            commands(&node.view, &id, m, false)
         } else {
             Vec::new()
         };
         m.sent(&list);
         let term = m.term;
         none_cancelled(&self.nodes[n].view, &list);
-        if self.workers[w].deaf {
+        if self.workers[w].outbound_partition {
             return;
         }
         if fate.is_multiple_of(4) || !self.workers[w].alive || self.workers[w].hung {
-            self.late.push(Late::Orders(w, term, session, list));
+            self.late.push(Late::CommandBatch(w, term, session, list));
             return;
         }
         self.deliver(w, term, session, &list);
@@ -630,7 +646,7 @@
         }
     }
 
-    fn deliver(&mut self, w: usize, term: u64, session: u64, list: &[Order]) {
+    fn deliver(&mut self, w: usize, term: u64, session: u64, list: &[Command]) {
         let x = &mut self.workers[w];
         if !x.alive || term < x.token || session != x.session {
             return;
@@ -651,14 +667,14 @@
             false => self.late.remove(k),
         };
         match late {
-            Late::Txn(t) => {
+            Late::Transaction(t) => {
                 self.store.apply(&t);
             }
-            Late::Orders(w, term, session, list) => match self.workers[w].hung {
-                true => self.late.push(Late::Orders(w, term, session, list)),
+            Late::CommandBatch(w, term, session, list) => match self.workers[w].hung {
+                true => self.late.push(Late::CommandBatch(w, term, session, list)),
                 false => self.deliver(w, term, session, &list),
             },
-            Late::Report(n, r) => {
+            Late::Heartbeat(n, r) => {
                 self.answer(n, &r);
             }
         }
@@ -686,14 +702,14 @@
             0 | 1 => self.sync(n),
             2 => {
                 self.sync(n);
-                self.parts(n);
+                self.shards(n);
                 self.sync(n);
             }
             3..=5 => self.pass(n, b),
             6..=8 => {
                 // Mostly to the owner.
-                let part = part_of(&self.workers[w].name);
-                let owner = (0..NODES).find(|n| self.term(*n, part).is_some());
+                let shard = shard_of(&self.workers[w].name);
+                let owner = (0..NODES).find(|n| self.term(*n, shard).is_some());
                 self.exchange(
                     w,
                     owner.filter(|_| !a.is_multiple_of(8)).unwrap_or(n),
@@ -708,17 +724,17 @@
                 // or mute, or hangs, or is well again; the state service refuses a node, or no more; a task fails.
                 0 => {
                     let key = keys::member(&self.nodes[n].name);
-                    self.store.apply(&Txn {
-                        guards: vec![],
-                        then: vec![Change::Delete { remove: key }],
+                    self.store.apply(&Transaction {
+                        preconditions: vec![],
+                        mutations: vec![Mutation::Delete { key }],
                     });
                 }
                 1 => {
                     let name = self.nodes[n].name.clone();
-                    self.nodes[n] = Node {
+                    self.nodes[n] = Controller {
                         name,
                         lease: 0,
-                        view: View::default(),
+                        view: ClusterState::default(),
                         seen: 0,
                         synced: 0,
                         cut: self.nodes[n].cut,
@@ -726,17 +742,17 @@
                     };
                 }
                 2 => {
-                    let key = keys::host(&self.workers[w].name);
+                    let key = keys::machine(&self.workers[w].name);
                     self.workers[w].alive = false;
                     self.workers[w].tasks.clear();
-                    self.store.apply(&Txn {
-                        guards: vec![],
-                        then: vec![Change::Delete { remove: key }],
+                    self.store.apply(&Transaction {
+                        preconditions: vec![],
+                        mutations: vec![Mutation::Delete { key }],
                     });
                     self.rent();
                 }
-                3 => self.workers[w].deaf ^= true,
-                4 => self.workers[w].mute ^= true,
+                3 => self.workers[w].outbound_partition ^= true,
+                4 => self.workers[w].inbound_partition ^= true,
                 5 => self.workers[w].hung ^= true,
                 6 => self.nodes[n].cut ^= true,
                 _ => {
@@ -744,7 +760,7 @@
                     for (k, t) in &mut self.workers[w].tasks {
                         if t.status == TaskStatus::Running {
                             t.status = TaskStatus::Exited;
-                            t.cause = Some(Cause::Error);
+                            t.cause = Some(ExitReason::Error);
                             hit = Some(k.clone());
                             break;
                         }
@@ -768,14 +784,14 @@
             _ => {
                 let key = keys::job(&job);
                 if !b.is_multiple_of(4) || self.jobs == 0 {
-                    let kind = [Shape::Array, Shape::Service, Shape::Array][a as usize % 3];
-                    let s = match self.jobs % GANGS {
-                        0 => spec(Shape::Gang, GANG_TASKS, self.now),
+                    let kind = [JobKind::Array, JobKind::Service, JobKind::Array][a as usize % 3];
+                    let s = match self.jobs % GANG_SHARD {
+                        0 => spec(JobKind::Gang, GANG_TASKS, self.now),
                         _ => spec(kind, 1 + u32::from(a % 3), self.now),
                     };
                     self.store.put(
                         keys::job(&format!("req-{}", self.jobs)),
-                        &Record(s, Block::default()),
+                        &JobRecord(s, TaskBlock::default()),
                     );
                     self.jobs += 1;
                 } else if self.store.keys.contains_key(&key) {
@@ -790,9 +806,9 @@
     /// A job is cancelled, and its user is told at that moment.
     fn cancel(&mut self, job: &str) {
         let (v, _) = &self.store.keys[&keys::job(job)];
-        let Record(mut s, first): Record = v.deserialized().expect("job");
+        let JobRecord(mut s, first): JobRecord = v.deserialized().expect("job");
         s.cancelled = true;
-        self.store.put(keys::job(job), &Record(s, first));
+        self.store.put(keys::job(job), &JobRecord(s, first));
         self.told.entry(job.to_string()).or_insert(self.now);
     }
 
@@ -818,7 +834,7 @@
                 let peer = gang && k.split_once('/').is_some_and(|(j, _)| j == job);
                 let hit = t.status == TaskStatus::Running && t.attempt == attempt;
                 if (k == task || peer) && hit {
-                    t.exit(Cause::Done);
+                    t.exit(ExitReason::Done);
                     self.completed.insert(k.clone());
                 }
             }
@@ -832,15 +848,15 @@
         }
         for (k, (v, _)) in &self.store.keys {
             if let Some(job) = k.strip_prefix("c/job/") {
-                let Record(_, b): Record = v.deserialized().expect("job");
+                let JobRecord(_, b): JobRecord = v.deserialized().expect("job");
                 for (i, s) in b.0.iter().enumerate() {
-                    if *s == Slot::Done {
+                    if *s == TaskState::Done {
                         assert!(self.completed.contains(&format!("{job}/{i}")), "not_done");
                     }
                 }
             }
             if let Some(job) = k.strip_prefix("c/final/") {
-                let f: coppergw::jobs::model::Final = v.deserialized().expect("final");
+                let f: coppergw::jobs::model::FinishedJob = v.deserialized().expect("final");
                 let before = self.ended.insert(job.to_string(), !f.cancelled);
                 assert!(before.is_none_or(|b| b != f.cancelled), "went_back");
                 assert!(
@@ -856,12 +872,12 @@
         self.late.clear();
         self.nodes.iter_mut().for_each(|n| n.cut = false);
         for w in &mut self.workers {
-            (w.deaf, w.mute, w.hung) = (false, false, false);
+            (w.outbound_partition, w.inbound_partition, w.hung) = (false, false, false);
         }
         // Services would keep their room for ever.
         let service = |v: &ciborium::Value| {
-            let Record(s, _) = v.deserialized().expect("job");
-            s.kind == Shape::Service
+            let JobRecord(s, _) = v.deserialized().expect("job");
+            s.kind == JobKind::Service
         };
         let jobs = self.store.keys.iter().filter_map(|(k, (v, _))| {
             let id = k.strip_prefix("c/job/").filter(|_| service(v))?;
@@ -873,14 +889,14 @@
         for _ in 0..80 {
             for n in 0..NODES {
                 self.sync(n);
-                self.parts(n);
+                self.shards(n);
                 self.sync(n);
                 self.pass(n, 1);
                 self.sync(n);
             }
             for w in 0..self.workers.len() {
-                let part = part_of(&self.workers[w].name);
-                if let Some(n) = (0..NODES).find(|n| self.term(*n, part).is_some()) {
+                let shard = shard_of(&self.workers[w].name);
+                if let Some(n) = (0..NODES).find(|n| self.term(*n, shard).is_some()) {
                     self.exchange(w, n, 2);
                 }
             }
@@ -895,13 +911,13 @@
 /// That a job is a gang is in its number, so that it is known when its record is gone.
 fn is_gang(job: &str) -> bool {
     let number = job.strip_prefix("req-").and_then(|n| n.parse().ok());
-    number.is_some_and(|n: u32| n.is_multiple_of(GANGS))
+    number.is_some_and(|n: u32| n.is_multiple_of(GANG_SHARD))
 }
 
 /// Nobody who knows that a job is cancelled has a task of it start.
-fn none_cancelled(view: &View, list: &[Order]) {
+fn none_cancelled(view: &ClusterState, list: &[Command]) {
     for o in list {
-        if let Order::Start { shard, .. } = o {
+        if let Command::Start { task: shard, .. } = o {
             let job = shard.split_once('/').and_then(|(j, _)| view.jobs.get(j));
             assert!(
                 job.is_some_and(|j| !j.cancelled()),
@@ -931,7 +947,7 @@
         for k in w.store.keys.keys() {
             if k.starts_with("c/job/") {
                 let b = k.replace("/job/", "/block/") + "/0";
-                let slots: Option<Block> = w
+                let slots: Option<TaskBlock> = w
                     .store
                     .keys
                     .get(&b)
@@ -957,7 +973,7 @@
     }
     w.store.put(
         keys::job("req-1"),
-        &Record(spec(Shape::Service, 1, w.now), Block::default()),
+        &JobRecord(spec(JobKind::Service, 1, w.now), TaskBlock::default()),
     );
     w.jobs = 2;
     let run = |w: &mut World| {
@@ -967,9 +983,9 @@
             w.sync(n);
         }
         for i in 0..w.workers.len() {
-            let part = part_of(&w.workers[i].name);
+            let shard = shard_of(&w.workers[i].name);
             for n in 0..NODES {
-                if w.term(n, part).is_some() {
+                if w.term(n, shard).is_some() {
                     w.exchange(i, n, 2);
                 }
             }
@@ -979,28 +995,28 @@
         run(&mut w);
         w.pass_time(SECOND);
     }
-    let host = (0..w.workers.len())
+    let machine = (0..w.workers.len())
         .find(|i| !w.workers[*i].tasks.is_empty())
         .expect("the replica runs");
-    let part = part_of(&w.workers[host].name);
+    let shard = shard_of(&w.workers[machine].name);
     let old = (0..NODES)
-        .find(|n| w.term(*n, part).is_some())
+        .find(|n| w.term(*n, shard).is_some())
         .expect("owner");
     // The old owner is cut off: its lease ends, others take its parts and keep the workers alive.
     let key = keys::member(&w.nodes[old].name);
-    w.store.apply(&Txn {
-        guards: vec![],
-        then: vec![Change::Delete { remove: key }],
+    w.store.apply(&Transaction {
+        preconditions: vec![],
+        mutations: vec![Mutation::Delete { key }],
     });
     for _ in 0..30 {
         for n in (0..NODES).filter(|n| *n != old) {
             w.sync(n);
-            w.parts(n);
+            w.shards(n);
             w.sync(n);
         }
         for i in 0..w.workers.len() {
-            let part = part_of(&w.workers[i].name);
-            if let Some(n) = (0..NODES).find(|n| *n != old && w.term(*n, part).is_some()) {
+            let shard = shard_of(&w.workers[i].name);
+            if let Some(n) = (0..NODES).find(|n| *n != old && w.term(*n, shard).is_some()) {
                 w.exchange(i, n, 2);
             }
         }
@@ -1012,16 +1028,19 @@
         w.arrive(0);
     }
     let (v, _) = w.store.keys.get("c/job/req-1").expect("job");
-    let Record(_, b): Record = v.deserialized().expect("job");
-    assert!(matches!(b.0[0], Slot::Placed(_)), "still placed: {b:?}");
+    let JobRecord(_, b): JobRecord = v.deserialized().expect("job");
+    assert!(
+        matches!(b.0[0], TaskState::Placed(_)),
+        "still placed: {b:?}"
+    );
 }
 
 /// A service of one task that its owner has placed but not started yet, on a machine that holds the owner's
 /// token: the owner and the machine.
 fn placed(w: &mut World) -> (usize, usize) {
     let owner = |w: &World, i: usize| {
-        let part = part_of(&w.workers[i].name);
-        let owner = (0..NODES).find(|n| w.term(*n, part).is_some());
+        let shard = shard_of(&w.workers[i].name);
+        let owner = (0..NODES).find(|n| w.term(*n, shard).is_some());
         owner.expect("each part has an owner")
     };
     (0..NODES).for_each(|n| w.sync(n));
@@ -1030,7 +1049,7 @@
             w.exchange(i, owner(w, i), 2);
         }
     }
-    let job = Record(spec(Shape::Service, 1, w.now), Block::default());
+    let job = JobRecord(spec(JobKind::Service, 1, w.now), TaskBlock::default());
     w.store.put(keys::job("req-1"), &job);
     w.jobs = 2;
     for n in 0..NODES {
@@ -1038,24 +1057,24 @@
         w.pass(n, 1);
     }
     (0..NODES).for_each(|n| w.sync(n));
-    let Slot::Placed(p) = slot(w) else {
+    let TaskState::Placed(p) = slot(w) else {
         panic!("it is placed");
     };
-    let i = w.workers.iter().position(|x| x.name == p.host);
+    let i = w.workers.iter().position(|x| x.name == p.machine);
     let i = i.expect("on a machine");
     (owner(w, i), i)
 }
 
-fn slot(w: &World) -> Slot {
+fn slot(w: &World) -> TaskState {
     let (v, _) = w.store.keys.get("c/job/req-1").expect("job");
-    let Record(_, b): Record = v.deserialized().expect("job");
+    let JobRecord(_, b): JobRecord = v.deserialized().expect("job");
     b.0[0].clone()
 }
 
 /// It is to go: the owner writes that.
 fn stop(w: &mut World, n: usize) {
     w.sync(n);
-    let stop = [Intent::Stop {
+    let stop = [JobChange::Stop {
         job: "req-1".into(),
         index: 0,
         attempt: 1,
@@ -1063,7 +1082,7 @@
     }];
     let view = &w.nodes[n].view;
     for s in stage(view, &stop, &HashSet::new(), &|_| false, LIMITS) {
-        assert!(w.store.apply(&s.txn));
+        assert!(w.store.apply(&s.transaction));
     }
     w.sync(n);
 }
@@ -1072,7 +1091,7 @@
 fn stays(w: &mut World, n: usize) -> bool {
     w.pass(n, 1);
     w.sync(n);
-    matches!(slot(w), Slot::Placed(p) if p.attempt == 1)
+    matches!(slot(w), TaskState::Placed(p) if p.attempt == 1)
 }
 
 /// A report from before the task started arrives after newer ones, while the machine does not hear that the
@@ -1084,11 +1103,11 @@
     let old = w.report(m);
     w.direct(n, m, 2);
     assert_eq!(w.workers[m].tasks.len(), 1);
-    w.workers[m].deaf = true;
+    w.workers[m].outbound_partition = true;
     stop(&mut w, n);
     w.answer(n, &old);
     assert!(stays(&mut w, n));
-    w.workers[m].deaf = false;
+    w.workers[m].outbound_partition = false;
     w.exchange(m, n, 2);
     w.exchange(m, n, 2);
     assert!(!stays(&mut w, n), "now it has stopped");
@@ -1120,19 +1139,19 @@
     let (n, m) = placed(&mut w);
     w.direct(n, m, 0);
     let key = keys::member(&w.nodes[n].name);
-    let then = vec![Change::Delete { remove: key }];
-    w.store.apply(&Txn {
-        guards: vec![],
-        then,
+    let then = vec![Mutation::Delete { key }];
+    w.store.apply(&Transaction {
+        preconditions: vec![],
+        mutations: then,
     });
     let others: Vec<usize> = (0..NODES).filter(|x| *x != n).collect();
     for x in &others {
         w.sync(*x);
-        w.parts(*x);
+        w.shards(*x);
     }
     others.iter().for_each(|x| w.sync(*x));
-    let part = part_of(&w.workers[m].name);
-    let new = others.into_iter().find(|x| w.term(*x, part).is_some());
+    let shard = shard_of(&w.workers[m].name);
+    let new = others.into_iter().find(|x| w.term(*x, shard).is_some());
     let new = new.expect("another took it");
     stop(&mut w, new);
     for _ in 0..2 {
@@ -1156,12 +1175,12 @@
     for away in [10, 20, 60, 300] {
         let mut w = World::new();
         let kinds = [
-            (Shape::Gang, GANG_TASKS),
-            (Shape::Array, 3),
-            (Shape::Service, 2),
+            (JobKind::Gang, GANG_TASKS),
+            (JobKind::Array, 3),
+            (JobKind::Service, 2),
         ];
         for (k, (kind, tasks)) in kinds.into_iter().enumerate() {
-            let job = Record(spec(kind, tasks, w.now), Block::default());
+            let job = JobRecord(spec(kind, tasks, w.now), TaskBlock::default());
             w.store.put(keys::job(&format!("req-{k}")), &job);
         }
         w.jobs = 3;
@@ -1172,8 +1191,8 @@
                 w.sync(n);
             }
             for i in 0..w.workers.len() {
-                let part = part_of(&w.workers[i].name);
-                if let Some(n) = (0..NODES).find(|n| w.term(*n, part).is_some()) {
+                let shard = shard_of(&w.workers[i].name);
+                if let Some(n) = (0..NODES).find(|n| w.term(*n, shard).is_some()) {
                     w.exchange(i, n, 2);
                 }
             }
@@ -1192,10 +1211,10 @@
         for n in 0..NODES {
             w.step(13, n as u8, 0);
             let name = w.nodes[n].name.clone();
-            w.nodes[n] = Node {
+            w.nodes[n] = Controller {
                 name,
                 lease: 0,
-                view: View::default(),
+                view: ClusterState::default(),
                 seen: 0,
                 synced: 0,
                 cut: false,
@@ -1244,6 +1263,9 @@
             );
         }
         assert!(w.workers[m].tasks.is_empty());
-        assert!(matches!(slot(&w), Slot::Placed(_)), "and concludes nothing");
+        assert!(
+            matches!(slot(&w), TaskState::Placed(_)),
+            "and concludes nothing"
+        );
     }
 }
--- a/tests/partitioned_machines.rs
+++ b/tests/partitioned_machines.rs
@@ -3,11 +3,14 @@
 
 mod common;
 
-use coppergw::autoscaler::model::HostState;
-use coppergw::ids::HostId;
+use coppergw::autoscaler::model::MachineState;
+use coppergw::ids::MachineId;
 use coppergw::time::{Micros, SECOND};
-use coppergw::wire::worker::Report;
-use coppergw::workers::{Machine, Mute, many_mute, mute, opens, reported_state};
+use coppergw::wire::worker::Heartbeat;
+use coppergw::workers::{
+    InboundPartition, WorkerState, inbound_partition, many_inbound_partitions, opens,
+    reported_state,
+};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -33,46 +36,46 @@
         }
     }
 
-    fn says(&mut self) -> Report {
+    fn says(&mut self) -> Heartbeat {
         self.tick += 1;
-        Report {
-            deckhand: "m".into(),
+        Heartbeat {
+            machine: "m".into(),
             address: "10.0.0.1:1".into(),
-            rig: "t".into(),
-            yard: "z".into(),
-            loaners: false,
-            shift: self.session,
-            tick: self.tick,
-            baton: self.token,
-            recall_s: self.notice,
-            shards: Vec::new(),
+            machine_type: "t".into(),
+            zone: "z".into(),
+            spot: false,
+            session: self.session,
+            sequence: self.tick,
+            fencing_token: self.token,
+            preemption_notice_s: self.notice,
+            tasks: Vec::new(),
         }
     }
 
-    fn report(&mut self, m: &mut Machine, now: Micros) {
+    fn report(&mut self, m: &mut WorkerState, now: Micros) {
         m.take(&self.says(), false, now);
     }
 
-    fn call(&mut self, m: &mut Machine, now: Micros) {
+    fn call(&mut self, m: &mut WorkerState, now: Micros) {
         m.take(&self.says(), true, now);
         m.answered_call(REPORT, now);
     }
 }
 
 /// What its owner makes of one machine among others that report.
-fn state(m: &Machine, before: HostState, now: Micros) -> HostState {
-    reported_state(m, before, mute(m, false, LEASE, now))
+fn state(m: &WorkerState, before: MachineState, now: Micros) -> MachineState {
+    reported_state(m, before, inbound_partition(m, false, LEASE, now))
 }
 
 /// It answers calls and never reports: within a lease it is no machine to place work on, it drains, and in the end
 /// it is returned. A report makes it one that serves again.
 #[test]
 fn one_that_never_reports_is_drained_and_in_the_end_returned() {
-    let (mut m, mut w) = (Machine::new(TERM, 0), Worker::new());
+    let (mut m, mut w) = (WorkerState::new(TERM, 0), Worker::new());
     w.report(&mut m, 0);
     let mut drained = None;
     let mut gone = None;
-    let mut s = HostState::Up;
+    let mut s = MachineState::Up;
     for k in 1..200 {
         let now = k * SECOND;
         // As often as one is called that says nothing; its lease ends its tasks, and a new session begins.
@@ -83,12 +86,12 @@
         s = state(&m, s, now);
         assert_eq!(
             opens(&m, 1, false, (REPORT, now)).is_none(),
-            m.mute() || now >= m.heard + 2 * REPORT
+            m.inbound_partition() || now >= m.heard + 2 * REPORT
         );
-        if s == HostState::Draining {
+        if s == MachineState::Draining {
             drained.get_or_insert(now);
         }
-        if s == HostState::Lost {
+        if s == MachineState::Lost {
             gone.get_or_insert(now);
         }
     }
@@ -101,56 +104,68 @@
         "{gone:?}"
     );
     w.report(&mut m, 200 * SECOND);
-    assert_eq!(state(&m, HostState::Draining, 200 * SECOND), HostState::Up);
+    assert_eq!(
+        state(&m, MachineState::Draining, 200 * SECOND),
+        MachineState::Up
+    );
     assert_eq!(opens(&m, 1, false, (REPORT, 200 * SECOND)), Some(w.session));
     // What the cloud is about to take stays as it is, and so does what fails its tasks.
     w.notice = Some(9.0);
     w.report(&mut m, 201 * SECOND);
     assert_eq!(
-        state(&m, HostState::Draining, 201 * SECOND),
-        HostState::Draining
+        state(&m, MachineState::Draining, 201 * SECOND),
+        MachineState::Draining
     );
-    let fresh = Machine::new(TERM, 0);
+    let fresh = WorkerState::new(TERM, 0);
     assert_eq!(
-        reported_state(&fresh, HostState::Sick, Mute::Drains),
-        HostState::Sick
+        reported_state(&fresh, MachineState::Quarantined, InboundPartition::Drain),
+        MachineState::Quarantined
     );
 }
 
 /// A new owner of a machine that drains has not heard a report of it: it does not take it for well.
 #[test]
 fn a_new_owner_does_not_take_it_for_well() {
-    let (mut m, mut w) = (Machine::new(TERM, 0), Worker::new());
+    let (mut m, mut w) = (WorkerState::new(TERM, 0), Worker::new());
     w.call(&mut m, SECOND);
-    assert_eq!(state(&m, HostState::Draining, SECOND), HostState::Draining);
+    assert_eq!(
+        state(&m, MachineState::Draining, SECOND),
+        MachineState::Draining
+    );
     w.report(&mut m, 2 * SECOND);
-    assert_eq!(state(&m, HostState::Draining, 2 * SECOND), HostState::Up);
+    assert_eq!(
+        state(&m, MachineState::Draining, 2 * SECOND),
+        MachineState::Up
+    );
 }
 
 /// A controller that stood still finds that none of its machines has reported for long. Those that are called
 /// before their reports are read are not mute for that.
 #[test]
 fn one_that_stood_still_takes_none_for_mute() {
-    let (mut m, mut w) = (Machine::new(TERM, 0), Worker::new());
+    let (mut m, mut w) = (WorkerState::new(TERM, 0), Worker::new());
     w.report(&mut m, 0);
     let back = 40 * SECOND;
     for k in 0..8 {
         w.call(&mut m, back + k * SECOND);
     }
-    assert!(!m.mute());
+    assert!(!m.inbound_partition());
     w.report(&mut m, back + 8 * SECOND);
     w.call(&mut m, back + 14 * SECOND);
-    assert!(!m.mute());
+    assert!(!m.inbound_partition());
 }
 
 /// Who holds another's token is driven by that one.
 #[test]
 fn one_that_shows_another_token_is_not_judged() {
-    let (mut m, mut w) = (Machine::new(TERM, 0), Worker::new());
+    let (mut m, mut w) = (WorkerState::new(TERM, 0), Worker::new());
     w.token = TERM - 1;
     (1..9).for_each(|k| w.call(&mut m, k * 7 * SECOND));
-    assert!(!m.mute());
-    assert_eq!(mute(&m, false, LEASE, 900 * SECOND), Mute::No);
+    assert!(!m.inbound_partition());
+    assert_eq!(
+        inbound_partition(&m, false, LEASE, 900 * SECOND),
+        InboundPartition::None
+    );
 }
 
 proptest! {
@@ -160,7 +175,7 @@
     /// answered calls for two times between two reports without one.
     #[test]
     fn only_silence_beside_answers_counts(events in proptest::collection::vec((any::<bool>(), 1u64..8), 1..120)) {
-        let (mut m, mut w) = (Machine::new(TERM, 0), Worker::new());
+        let (mut m, mut w) = (WorkerState::new(TERM, 0), Worker::new());
         let (mut now, mut last, mut calls) = (0, 0, 0);
         w.report(&mut m, 0);
         for (report, after) in events {
@@ -172,11 +187,11 @@
                 w.call(&mut m, now);
                 calls += 1;
             }
-            prop_assert!(!m.mute() || (calls >= 3 && now >= last + 3 * REPORT));
-            prop_assert!(m.mute() || calls < 3 || now < last + 3 * (REPORT + 7 * SECOND));
-            let made = mute(&m, false, LEASE, now);
-            prop_assert!(made != Mute::Gone || now > last + 3 * LEASE);
-            prop_assert!(made == Mute::No || now > last + LEASE, "it may yet report");
+            prop_assert!(!m.inbound_partition() || (calls >= 3 && now >= last + 3 * REPORT));
+            prop_assert!(m.inbound_partition() || calls < 3 || now < last + 3 * (REPORT + 7 * SECOND));
+            let made = inbound_partition(&m, false, LEASE, now);
+            prop_assert!(made != InboundPartition::Replace || now > last + 3 * LEASE);
+            prop_assert!(made == InboundPartition::None || now > last + LEASE, "it may yet report");
         }
     }
 
@@ -185,9 +200,9 @@
     #[test]
     fn many_are_left_alone(all in 2usize..60, share in 0usize..=100) {
         let n = all * share / 100;
-        let mut machines: BTreeMap<HostId, Machine> = BTreeMap::new();
+        let mut machines: BTreeMap<MachineId, WorkerState> = BTreeMap::new();
         for k in 0..all {
-            let (mut m, mut w) = (Machine::new(TERM, 0), Worker::new());
+            let (mut m, mut w) = (WorkerState::new(TERM, 0), Worker::new());
             w.report(&mut m, 0);
             for c in 1..30 {
                 let now = c * 6 * SECOND;
@@ -195,13 +210,13 @@
             }
             machines.insert(format!("m-{k}").into(), m);
         }
-        let many = many_mute(&machines);
+        let many = many_inbound_partitions(&machines);
         prop_assert_eq!(many, n >= 2 && n * 3 > all);
         let now = 174 * SECOND;
         for m in machines.values() {
-            let got = mute(m, many, LEASE, now);
-            prop_assert_eq!(got, if m.mute() && !many { Mute::Gone } else { Mute::No });
-            prop_assert_eq!(opens(m, 1, many, (REPORT, now)).is_some(), many || !m.mute());
+            let got = inbound_partition(m, many, LEASE, now);
+            prop_assert_eq!(got, if m.inbound_partition() && !many { InboundPartition::Replace } else { InboundPartition::None });
+            prop_assert_eq!(opens(m, 1, many, (REPORT, now)).is_some(), many || !m.inbound_partition());
         }
     }
 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -4,20 +4,23 @@
 
 mod common;
 
-use coppergw::autoscaler::model::{Charter, Host, HostState};
-use coppergw::autoscaler::reconciler::shrink_charter;
+use coppergw::autoscaler::model::{MachineRecord, MachineState, ScaleOutRequest};
+use coppergw::autoscaler::reconciler::shrink_scale_out_request;
 use coppergw::fairness::rounds::fitting;
-use coppergw::ids::HostId;
-use coppergw::jobs::commit::{Intent, Limits, acceptance, stage, sweep, withdraw};
+use coppergw::ids::MachineId;
+use coppergw::jobs::commit::{
+    JobChange, TransactionLimits, accept_submission, cancel, collect_garbage, stage,
+};
 use coppergw::jobs::model::{
-    Block, Final, Ids, JobId, Placement, Record, Room, Slot, Spec, Stored,
+    FinishedJob, JobId, JobIdList, JobRecord, JobSpec, Placement, Resources, StoredBlock,
+    TaskBlock, TaskState,
 };
-use coppergw::jobs::pipelines::{Named, answer, named};
+use coppergw::jobs::pipelines::{DependencyCheck, answer, check_dependencies};
 use coppergw::membership::{Member, VERSION, Version, all_know};
-use coppergw::store::cluster_state::View;
+use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
-use coppergw::wire::state::{Change, Txn};
-use coppergw::wire::user::{Rank, Shape, Status};
+use coppergw::wire::state::{Mutation, Transaction};
+use coppergw::wire::user::{JobKind, Priority, Status};
 use coppergw::wire::{from_value, json_size, to_value};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use proptest::prelude::*;
@@ -33,10 +36,10 @@
 struct OldSpec {
     cl: String,
     t: String,
-    k: Shape,
-    r: Rank,
+    k: JobKind,
+    r: Priority,
     n: u32,
-    q: Room,
+    q: Resources,
     i: String,
     ig: i64,
     ty: Option<Vec<String>>,
@@ -55,19 +58,19 @@
 type OldSlot = (u8, u32, String, u64, u64);
 type OldRecord = (OldSpec, Vec<OldSlot>);
 
-fn spec(kind: Shape, tasks: u32) -> Spec {
-    Spec {
+fn spec(kind: JobKind, tasks: u32) -> JobSpec {
+    JobSpec {
         class: "claim-score".into(),
         team: "fleet-desk".into(),
-        rank: Rank::Low,
+        priority: Priority::Low,
         image: "image-of-some-length-07".into(),
         image_size: 900,
-        types: Some(vec!["umurenge-16".into(), "imbaraga-24".into()]),
-        estimate: 25_000_000,
-        checkpoint: 15_000_000,
-        save: 6_000_000,
+        machine_types: Some(vec!["umurenge-16".into(), "imbaraga-24".into()]),
+        estimated_run_time: 25_000_000,
+        checkpoint_interval: 15_000_000,
+        checkpoint_save_time: 6_000_000,
         deadline: Some(150_000_000),
-        submitted: 1_700_000_000_000_000,
+        submitted_at: 1_700_000_000_000_000,
         ..common::spec(kind, tasks)
     }
 }
@@ -93,24 +96,28 @@
 
 impl Store {
     /// What the state service answers with 400: always a fault of ours.
-    fn check(&self, t: &Txn) {
+    fn check(&self, t: &Transaction) {
         let (value, ops) = self.limits;
-        assert!(t.then.len() <= ops, "{} changes", t.then.len());
-        assert!(t.guards.len() <= ops * 4, "{} guards", t.guards.len());
+        assert!(t.mutations.len() <= ops, "{} changes", t.mutations.len());
+        assert!(
+            t.preconditions.len() <= ops * 4,
+            "{} guards",
+            t.preconditions.len()
+        );
         assert!(t.largest() <= value, "a value of {} bytes", t.largest());
         assert!(json_size(t) <= 64 * 1024);
     }
 
-    fn job(&self, id: &str) -> Option<Spec> {
+    fn job(&self, id: &str) -> Option<JobSpec> {
         let (v, _) = self.keys.get(&keys::job(id))?;
-        Some(from_value::<coppergw::jobs::model::AnyRecord>(v)?.0)
+        Some(from_value::<coppergw::jobs::model::StoredJobRecord>(v)?.0)
     }
-    fn fin(&self, id: &str) -> Option<Final> {
-        from_value(&self.keys.get(&keys::fin(id))?.0)
+    fn finished_job(&self, id: &str) -> Option<FinishedJob> {
+        from_value(&self.keys.get(&keys::finished_job(id))?.0)
     }
     /// Whether the job or one before it is cancelled, from what is stored alone.
     fn cancelled(&self, needs: &HashMap<String, Vec<String>>, id: &str) -> bool {
-        match self.fin(id) {
+        match self.finished_job(id) {
             Some(f) => f.cancelled,
             None => {
                 self.job(id).is_some_and(|s| s.cancelled)
@@ -124,20 +131,20 @@
     }
 }
 
-struct Node {
-    view: View,
+struct Controller {
+    view: ClusterState,
     seen: usize,
     new: bool,
 }
 
 struct World {
     store: Store,
-    nodes: Vec<Node>,
+    nodes: Vec<Controller>,
     /// As submitted: what each job waits for.
     needs: HashMap<String, Vec<String>>,
     order: Vec<String>,
     told: HashMap<String, Status>,
-    late: Vec<Txn>,
+    late: Vec<Transaction>,
     on: BTreeSet<(String, u32)>,
     wall: u64,
 }
@@ -162,8 +169,8 @@
             wall: 1_700_000_000_000_000,
         };
         for _ in 0..NODES {
-            w.nodes.push(Node {
-                view: View::default(),
+            w.nodes.push(Controller {
+                view: ClusterState::default(),
                 seen: 0,
                 new: false,
             });
@@ -175,17 +182,17 @@
         self.store.keys.contains_key(keys::LAYOUT)
     }
 
-    fn limits(&self, n: usize) -> Limits {
+    fn limits(&self, n: usize) -> TransactionLimits {
         let layout = self.nodes[n].new && self.nodes[n].view.layout.is_some();
         let (value, ops) = if layout { NARROW } else { WIDE };
-        Limits {
-            ops,
-            merge: 8,
-            bytes: 48 * 1024,
-            value: value - 48,
-            layout,
+        TransactionLimits {
+            max_mutations: ops,
+            max_merged_mutations: 8,
+            max_bytes: 48 * 1024,
+            max_value_bytes: value - 48,
+            newer_layout: layout,
             packed: layout,
-            wall: self.wall,
+            wall_clock: self.wall,
         }
     }
 
@@ -198,20 +205,20 @@
             }
         }
         node.seen = self.store.log.len();
-        node.view.rev = self.store.rev;
+        node.view.revision = self.store.rev;
         common::indexed(&node.view);
     }
 
     /// A process that comes back reads everything but the final states.
     fn restart(&mut self, n: usize, new: bool) {
-        let mut view = View::default();
+        let mut view = ClusterState::default();
         for (k, (v, stamp)) in &self.store.keys {
             if keys::LOADED.iter().any(|p| k.starts_with(p)) {
                 view.put(k, v, *stamp);
             }
         }
-        view.rev = self.store.rev;
-        self.nodes[n] = Node {
+        view.revision = self.store.rev;
+        self.nodes[n] = Controller {
             view,
             seen: self.store.log.len(),
             new,
@@ -224,7 +231,7 @@
             let m = Member {
                 lease: 1,
                 since: 0,
-                shunned: false,
+                unreachable_by_workers: false,
                 version,
                 ends: 0,
             };
@@ -240,18 +247,18 @@
     }
 
     fn put<T: serde::Serialize>(&mut self, key: String, v: &T) {
-        self.store.apply(&Txn {
-            guards: vec![],
-            then: vec![Change::Put {
-                put: key,
-                v: to_value(v),
-                permit: None,
+        self.store.apply(&Transaction {
+            preconditions: vec![],
+            mutations: vec![Mutation::Put {
+                key,
+                value: to_value(v),
+                lease: None,
             }],
         });
     }
 
     /// Carries a transaction out, or holds it back to be applied late, with or without an answer.
-    fn commit(&mut self, n: usize, t: Txn, fate: u8) -> bool {
+    fn commit(&mut self, n: usize, t: Transaction, fate: u8) -> bool {
         self.store.check(&t);
         if fate.is_multiple_of(7) {
             self.late.push(t);
@@ -261,10 +268,12 @@
         if ok && !fate.is_multiple_of(5) {
             // Applied ahead of the watch.
             let rev = self.store.rev;
-            for c in &t.then {
+            for c in &t.mutations {
                 match c {
-                    Change::Put { put, v, .. } => self.nodes[n].view.put(put, v, rev),
-                    Change::Delete { remove } => self.nodes[n].view.delete(remove, rev),
+                    Mutation::Put {
+                        key: put, value: v, ..
+                    } => self.nodes[n].view.put(put, v, rev),
+                    Mutation::Delete { key: remove } => self.nodes[n].view.delete(remove, rev),
                 }
             }
         }
@@ -274,13 +283,16 @@
         ok
     }
 
-    fn run(&mut self, t: &Txn) -> bool {
+    fn run(&mut self, t: &Transaction) -> bool {
         if !self.store.apply(t) {
             return false;
         }
         let old = !self.layout();
-        for c in &t.then {
-            let Change::Put { put, v, .. } = c else {
+        for c in &t.mutations {
+            let Mutation::Put {
+                key: put, value: v, ..
+            } = c
+            else {
                 continue;
             };
             if old {
@@ -297,7 +309,7 @@
             }
         }
         // Whatever is placed now, by whichever view: everything before it must be done.
-        let mut fresh = View::default();
+        let mut fresh = ClusterState::default();
         for (k, (v, stamp)) in &self.store.keys {
             fresh.put(k, v, *stamp);
         }
@@ -307,7 +319,7 @@
         }
         for (id, i) in on.difference(&self.on) {
             for n in self.needs.get(id).into_iter().flatten() {
-                let f = self.store.fin(n);
+                let f = self.store.finished_job(n);
                 assert!(
                     f.is_some_and(|f| !f.cancelled),
                     "too_early: {id}/{i} before {n}"
@@ -320,14 +332,14 @@
     }
 
     fn read_final(&mut self, n: usize, id: &str) -> bool {
-        let f = self.store.fin(id);
+        let f = self.store.finished_job(id);
         if let Some(f) = f {
             self.nodes[n].view.remember(&id.into(), f);
         }
         f.is_some()
     }
 
-    fn submit(&mut self, n: usize, mut s: Spec, picks: &[u8]) {
+    fn submit(&mut self, n: usize, mut s: JobSpec, picks: &[u8]) {
         let id = format!("req-{:06}", self.order.len());
         let names: Vec<String> = picks
             .iter()
@@ -338,29 +350,29 @@
             if self.nodes[n].view.layout.is_none() || !self.nodes[n].new {
                 return; // 503
             }
-            let mut list = named(&self.nodes[n].view, &id, &names);
-            if let Named::Unknown(u) = list {
+            let mut list = check_dependencies(&self.nodes[n].view, &id, &names);
+            if let DependencyCheck::Unknown(u) = list {
                 for x in &u {
                     self.read_final(n, x);
                 }
                 self.sync(n);
-                list = named(&self.nodes[n].view, &id, &names);
+                list = check_dependencies(&self.nodes[n].view, &id, &names);
             }
-            let Named::Needs(list) = list else {
+            let DependencyCheck::Accepted(list) = list else {
                 panic!("422 for accepted jobs: {list:?}");
             };
-            s.needs.jobs = Ids(list);
+            s.dependencies.jobs = JobIdList(list);
         }
-        s.submitted = self.wall;
+        s.submitted_at = self.wall;
         let limits = self.limits(n);
         self.needs.insert(id.clone(), names);
         self.order.push(id.clone());
         for _ in 0..9 {
-            let steps = acceptance(&self.nodes[n].view, &id, s.clone(), limits);
+            let steps = accept_submission(&self.nodes[n].view, &id, s.clone(), limits);
             for t in steps.expect("fits into values") {
                 self.store.check(&t);
                 assert!(self.run(&t));
-                if t.then.iter().any(|c| c.key() == keys::job(&id)) {
+                if t.mutations.iter().any(|c| c.key() == keys::job(&id)) {
                     return;
                 }
             }
@@ -408,7 +420,7 @@
                 return;
             }
             let job: JobId = id.into();
-            let Some(t) = withdraw(&self.nodes[n].view, &job, self.limits(n)) else {
+            let Some(t) = cancel(&self.nodes[n].view, &job, self.limits(n)) else {
                 return;
             };
             if !self.commit(n, t, fate) && fate.is_multiple_of(7) {
@@ -418,33 +430,34 @@
         panic!("a cancellation that never comes through");
     }
 
-    fn intents(&self, n: usize, pick: u8) -> Vec<Intent> {
+    fn intents(&self, n: usize, pick: u8) -> Vec<JobChange> {
         let view = &self.nodes[n].view;
         let mut out = Vec::new();
         for (k, (id, j)) in view.jobs.iter().enumerate() {
             // Placement is tried for every job: what may not start must be kept back by the guard.
             let waiting: Vec<u32> = j
                 .slots()
-                .filter(|(_, s)| matches!(s, Slot::Waiting(_)))
+                .filter(|(_, s)| matches!(s, TaskState::Waiting(_)))
                 .map(|(i, _)| i)
                 .collect();
-            let host = |i: u32| -> HostId { format!("m-{:06}", (i * 7 + k as u32) % 400).into() };
+            let machine =
+                |i: u32| -> MachineId { format!("m-{:06}", (i * 7 + k as u32) % 400).into() };
             if !waiting.is_empty() {
-                out.push(Intent::Place {
+                out.push(JobChange::Place {
                     job: id.clone(),
-                    tasks: waiting.iter().map(|i| (*i, host(*i), 1)).collect(),
+                    tasks: waiting.iter().map(|i| (*i, machine(*i), 1)).collect(),
                 });
             }
             for (i, p) in j.placements() {
                 if (i + u32::from(pick)).is_multiple_of(3) || j.cancelled() {
-                    out.push(Intent::Left {
+                    out.push(JobChange::AttemptEnded {
                         job: id.clone(),
                         index: i,
                         attempt: p.attempt,
                         done: !i.wrapping_add(p.attempt).is_multiple_of(4),
                     });
                 } else if (i + u32::from(pick)).is_multiple_of(11) {
-                    out.push(Intent::Stop {
+                    out.push(JobChange::Stop {
                         job: id.clone(),
                         index: i,
                         attempt: p.attempt,
@@ -452,7 +465,7 @@
                     });
                 }
             }
-            out.push(Intent::Settle { job: id.clone() });
+            out.push(JobChange::Finalize { job: id.clone() });
         }
         out
     }
@@ -469,10 +482,10 @@
             &|_| false,
             l,
         ) {
-            self.commit(n, s.txn, fate);
+            self.commit(n, s.transaction, fate);
         }
         if fate.is_multiple_of(3)
-            && let Some(t) = sweep(&self.nodes[n].view, l)
+            && let Some(t) = collect_garbage(&self.nodes[n].view, l)
         {
             self.commit(n, t, fate);
         }
@@ -484,11 +497,11 @@
         match op % 12 {
             0 | 1 => {
                 let tasks = [1, 3, 40, 130, 300][usize::from(b) % 5];
-                self.submit(n, spec(Shape::Array, tasks), &[]);
+                self.submit(n, spec(JobKind::Array, tasks), &[]);
             }
-            2 => self.submit(n, spec(Shape::Gang, [2, 32, 64][usize::from(b) % 3]), &[]),
-            3 => self.submit(n, spec(Shape::Array, 2), &[a, b]),
-            4 => self.submit(n, spec(Shape::Gang, 3), &[b, b.wrapping_add(a), b / 2]),
+            2 => self.submit(n, spec(JobKind::Gang, [2, 32, 64][usize::from(b) % 3]), &[]),
+            3 => self.submit(n, spec(JobKind::Array, 2), &[a, b]),
+            4 => self.submit(n, spec(JobKind::Gang, 3), &[b, b.wrapping_add(a), b / 2]),
             5 if !self.order.is_empty() => {
                 let id = self.order[usize::from(b) % self.order.len()].clone();
                 self.cancel(n, &id, a);
@@ -504,7 +517,7 @@
                 let t = self.late.swap_remove(usize::from(b) % self.late.len());
                 if self.store.limits == WIDE {
                     self.run(&t);
-                } else if t.largest() <= NARROW.0 && t.then.len() <= NARROW.1 {
+                } else if t.largest() <= NARROW.0 && t.mutations.len() <= NARROW.1 {
                     // A larger one is refused once the limits fell.
                     self.run(&t);
                 }
@@ -533,7 +546,7 @@
         for round in 0..400u32 {
             let n = round as usize % NODES;
             self.sync(n);
-            for x in self.nodes[n].view.unknown_gates() {
+            for x in self.nodes[n].view.unknown_dependencies() {
                 self.read_final(n, &x);
             }
             self.pass(n, (round / 3) as u8, 3);
@@ -543,7 +556,7 @@
         }
         for _ in 0..200 {
             self.sync(0);
-            if let Some(t) = sweep(&self.nodes[0].view, self.limits(0)) {
+            if let Some(t) = collect_garbage(&self.nodes[0].view, self.limits(0)) {
                 self.commit(0, t, 1);
             }
         }
@@ -581,32 +594,32 @@
     /// Whatever a block holds is read again as it was, in every form.
     #[test]
     fn packed_blocks_are_read_as_they_were(slots in proptest::collection::vec((0u8..4, 0u32..3, 0u8..5, 1u64..3), 0..256)) {
-        let b = Block(slots.iter().map(|(k, a, h, s)| match k {
-            0 => Slot::Waiting(*a),
-            1 => Slot::Done,
-            k => Slot::Placed(Placement {
+        let b = TaskBlock(slots.iter().map(|(k, a, h, s)| match k {
+            0 => TaskState::Waiting(*a),
+            1 => TaskState::Done,
+            k => TaskState::Placed(Placement {
                 attempt: *a,
-                host: format!("m-{h}").into(),
+                machine: format!("m-{h}").into(),
                 session: *s,
                 stop: (*k == 3).then_some(6_000_000),
             }),
         }).collect());
-        for form in [Stored::Plain(b.clone()), Stored::Packed(b.clone()), Stored::Split(64)] {
-            prop_assert_eq!(from_value::<Stored>(&to_value(&form)), Some(form));
+        for form in [StoredBlock::Plain(b.clone()), StoredBlock::Packed(b.clone()), StoredBlock::Split(64)] {
+            prop_assert_eq!(from_value::<StoredBlock>(&to_value(&form)), Some(form));
         }
     }
 }
 
-fn placed_apart(tasks: u32) -> Block {
+fn placed_apart(tasks: u32) -> TaskBlock {
     let place = |i: u32| {
-        Slot::Placed(Placement {
+        TaskState::Placed(Placement {
             attempt: 1 + i % 3,
-            host: format!("m-{i:06}").into(),
+            machine: format!("m-{i:06}").into(),
             session: 1,
             stop: None,
         })
     };
-    Block((0..tasks).map(place).collect())
+    TaskBlock((0..tasks).map(place).collect())
 }
 
 /// A record in the old layout, its 256 tasks on as many machines, is too large to be written again
@@ -616,7 +629,7 @@
     let mut w = World::new();
     w.put(
         keys::job("req-000000"),
-        &Record(spec(Shape::Array, 256), placed_apart(256)),
+        &JobRecord(spec(JobKind::Array, 256), placed_apart(256)),
     );
     w.order.push("req-000000".into());
     for n in 0..NODES {
@@ -641,7 +654,7 @@
     }
     w.restart(0, true);
     w.store.limits = NARROW;
-    w.submit(0, spec(Shape::Gang, 32), &[]);
+    w.submit(0, spec(JobKind::Gang, 32), &[]);
     w.sync(0);
     let tasks = (0..32)
         .map(|i| (i, format!("m-{i:06}").into(), 1))
@@ -649,22 +662,22 @@
     let job: JobId = "req-000000".into();
     let list = stage(
         &w.nodes[0].view,
-        &[Intent::Place { job, tasks }],
+        &[JobChange::Place { job, tasks }],
         &HashSet::new(),
         &|_| false,
         w.limits(0),
     );
     assert_eq!(list.len(), 1);
-    let parts = list[0]
-        .txn
-        .guards
+    let shards = list[0]
+        .transaction
+        .preconditions
         .iter()
-        .filter(|g| g.path.starts_with("c/part/"));
+        .filter(|g| g.key.starts_with("c/part/"));
     assert!(
-        parts.count() > 8,
+        shards.count() > 8,
         "the terms of all parts stand for the machines"
     );
-    assert!(w.commit(0, list[0].txn.clone(), 1));
+    assert!(w.commit(0, list[0].transaction.clone(), 1));
     w.sync(0);
     assert_eq!(w.nodes[0].view.jobs["req-000000"].placed, 32);
 }
@@ -679,40 +692,38 @@
     }
     w.store.limits = NARROW;
     for _ in 0..700 {
-        w.submit(0, spec(Shape::Array, 1), &[]);
+        w.submit(0, spec(JobKind::Array, 1), &[]);
         w.sync(0);
     }
     // An earlier try was cut off after its first key, with other jobs in it.
     w.put(
         keys::needs("req-000700", 0),
-        &Ids(vec!["req-000003".into()]),
+        &JobIdList(vec!["req-000003".into()]),
     );
     w.sync(0);
-    let mut s = spec(Shape::Array, 1);
-    s.needs.jobs = Ids(w.order.iter().map(|id| id.as_str().into()).collect());
+    let mut s = spec(JobKind::Array, 1);
+    s.dependencies.jobs = JobIdList(w.order.iter().map(|id| id.as_str().into()).collect());
     w.submit(0, s, &[]);
     w.restart(1, true);
     let view = &w.nodes[1].view;
     let last = &view.jobs["req-000700"];
-    assert!(last.spec.needs.keys > 1 && last.needs.len() == 700 && !last.ready);
+    assert!(last.spec.dependencies.keys > 1 && last.dependencies.len() == 700 && !last.ready);
     let before: Vec<String> = w.order[..700].to_vec();
     for id in &before {
         assert!(!w.nodes[1].view.jobs["req-000700"].ready);
-        let t = Txn {
-            guards: vec![],
-            then: vec![
-                Change::Put {
-                    put: keys::fin(id),
-                    v: to_value(&Final {
+        let t = Transaction {
+            preconditions: vec![],
+            mutations: vec![
+                Mutation::Put {
+                    key: keys::finished_job(id),
+                    value: to_value(&FinishedJob {
                         cancelled: false,
                         done: 1,
-                        at: 7,
+                        finished_at: 7,
                     }),
-                    permit: None,
-                },
-                Change::Delete {
-                    remove: keys::job(id),
+                    lease: None,
                 },
+                Mutation::Delete { key: keys::job(id) },
             ],
         };
         assert!(w.store.apply(&t));
@@ -728,43 +739,51 @@
     let limits = coppergw::settings::StateLimits {
         rps: 1.0,
         write_rps: 1.0,
-        value_bytes: 2048,
-        txn_ops: 5,
+        max_value_bytes: 2048,
+        max_mutations: 5,
     };
-    let mut v = View::default();
+    let mut v = ClusterState::default();
     let names: Vec<String> = (0..50).map(|i| format!("m-{i:06}")).collect();
-    let charter = Charter {
-        kind: "t".into(),
+    let scale_out_request = ScaleOutRequest {
+        machine_type: "t".into(),
         zone: "z".into(),
         spot: false,
         count: 50,
-        at: 0,
-        names: names.clone(),
+        requested_at: 0,
+        machines: names.clone(),
     };
-    v.put(&keys::charter("a"), &to_value(&charter), 1);
+    v.put(
+        &keys::scale_out_request("a"),
+        &to_value(&scale_out_request),
+        1,
+    );
     assert!(
-        shrink_charter(&v, limits).is_none(),
+        shrink_scale_out_request(&v, limits).is_none(),
         "no machine has a key yet"
     );
     for (i, n) in names.iter().enumerate() {
-        let h = Host {
-            state: HostState::Up,
-            ..charter.host()
+        let h = MachineRecord {
+            state: MachineState::Up,
+            ..scale_out_request.machine()
         };
-        v.put(&keys::host(n), &to_value(&h), 2 + i as u64);
+        v.put(&keys::machine(n), &to_value(&h), 2 + i as u64);
     }
     for rev in 100.. {
-        let Some(t) = shrink_charter(&v, limits) else {
+        let Some(t) = shrink_scale_out_request(&v, limits) else {
             break;
         };
-        assert!(t.guards.len() <= limits.guards());
-        match &t.then[0] {
-            Change::Put { put, v: val, .. } => v.put(put, val, rev),
-            Change::Delete { remove } => v.delete(remove, rev),
-        }
-        assert_eq!(v.hosts.len(), 50);
-    }
-    assert!(v.charters.is_empty());
+        assert!(t.preconditions.len() <= limits.preconditions());
+        match &t.mutations[0] {
+            Mutation::Put {
+                key: put,
+                value: val,
+                ..
+            } => v.put(put, val, rev),
+            Mutation::Delete { key: remove } => v.delete(remove, rev),
+        }
+        assert_eq!(v.machines.len(), 50);
+    }
+    assert!(v.scale_out_requests.is_empty());
 }
 
 /// Counts and raises that outgrow one value keep those that matter most.
@@ -786,7 +805,7 @@
     let m = |version| Member {
         lease: 1,
         since: 0,
-        shunned: false,
+        unreachable_by_workers: false,
         version,
         ends: 0,
     };
@@ -807,71 +826,78 @@
 /// for nothing; of a cancelled one only that counts.
 #[test]
 fn named_jobs_are_told_apart() {
-    let mut v = View::default();
-    let record = |s: Spec| to_value(&Record(s, Block::default()));
-    v.put(&keys::job("req-1"), &record(spec(Shape::Array, 1)), 1);
-    v.put(&keys::job("req-2"), &record(spec(Shape::Service, 1)), 2);
-    let fin = |cancelled| Final {
+    let mut v = ClusterState::default();
+    let record = |s: JobSpec| to_value(&JobRecord(s, TaskBlock::default()));
+    v.put(&keys::job("req-1"), &record(spec(JobKind::Array, 1)), 1);
+    v.put(&keys::job("req-2"), &record(spec(JobKind::Service, 1)), 2);
+    let finished_job = |cancelled| FinishedJob {
         cancelled,
         done: 1,
-        at: 5,
+        finished_at: 5,
     };
-    v.remember(&"req-3".into(), fin(false));
-    v.remember(&"req-4".into(), fin(true));
+    v.remember(&"req-3".into(), finished_job(false));
+    v.remember(&"req-4".into(), finished_job(true));
     let ask = |l: &[&str]| {
         let l: Vec<String> = l.iter().map(|s| s.to_string()).collect();
-        named(&v, "req-9", &l)
+        check_dependencies(&v, "req-9", &l)
     };
     assert_eq!(
         ask(&["req-1", "req-3", "req-1"]),
-        Named::Needs(vec!["req-1".into()])
+        DependencyCheck::Accepted(vec!["req-1".into()])
+    );
+    assert_eq!(
+        ask(&["req-1", "req-4"]),
+        DependencyCheck::Accepted(vec!["req-4".into()])
     );
-    assert_eq!(ask(&["req-1", "req-4"]), Named::Needs(vec!["req-4".into()]));
     assert_eq!(
         ask(&["req-5", "req-1"]),
-        Named::Unknown(vec!["req-5".into()])
+        DependencyCheck::Unknown(vec!["req-5".into()])
     );
-    assert!(matches!(ask(&["req-9"]), Named::Impossible(_)));
-    assert!(matches!(ask(&["req-2"]), Named::Impossible(_)));
+    assert!(matches!(ask(&["req-9"]), DependencyCheck::Impossible(_)));
+    assert!(matches!(ask(&["req-2"]), DependencyCheck::Impossible(_)));
 }
 
 /// Rank and deadline of a last job reach those before it; their waits count from the last `done`.
 #[test]
 fn a_pipeline_has_the_rank_and_time_of_its_last_job() {
-    let mut v = View::default();
-    let put = |v: &mut View, id: &str, rev, s: Spec| {
-        v.put(&keys::job(id), &to_value(&Record(s, Block::default())), rev);
+    let mut v = ClusterState::default();
+    let put = |v: &mut ClusterState, id: &str, rev, s: JobSpec| {
+        v.put(
+            &keys::job(id),
+            &to_value(&JobRecord(s, TaskBlock::default())),
+            rev,
+        );
     };
     let step = |needs: &[&str]| {
-        let mut s = spec(Shape::Array, 2);
+        let mut s = spec(JobKind::Array, 2);
         s.deadline = None;
-        s.needs.jobs = Ids(needs.iter().map(|n| (*n).into()).collect());
+        s.dependencies.jobs = JobIdList(needs.iter().map(|n| (*n).into()).collect());
         s
     };
     // As a restart reads them: the last one comes first.
     let mut last = step(&["req-3"]);
-    last.rank = Rank::High;
+    last.priority = Priority::High;
     last.deadline = Some(200_000_000);
     put(&mut v, "req-1", 9, last.clone());
     put(&mut v, "req-3", 8, step(&["req-4"]));
     put(&mut v, "req-4", 7, step(&[]));
-    assert_eq!(v.jobs["req-4"].rank, Rank::High);
-    let due = last.submitted + 200_000_000;
+    assert_eq!(v.jobs["req-4"].priority, Priority::High);
+    let due = last.submitted_at + 200_000_000;
     assert!(
         v.jobs["req-4"]
-            .due
-            .is_some_and(|d| d < due - 2 * last.estimate)
+            .deadline_at
+            .is_some_and(|d| d < due - 2 * last.estimated_run_time)
     );
     assert!(v.jobs["req-4"].ready && !v.jobs["req-3"].ready);
     v.remember(
         &"req-4".into(),
-        Final {
+        FinishedJob {
             cancelled: false,
             done: 2,
-            at: last.submitted + 77,
+            finished_at: last.submitted_at + 77,
         },
     );
     v.delete(&keys::job("req-4"), 10);
     assert!(v.jobs["req-3"].ready && !v.jobs["req-1"].ready);
-    assert_eq!(v.jobs["req-3"].since, last.submitted + 77);
+    assert_eq!(v.jobs["req-3"].waiting_since, last.submitted_at + 77);
 }
