--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -452,7 +452,7 @@
     l: &TerminationBatch,
     held: Vec<String>,
 ) -> Transaction {
-    let key = keys::leaving(name);
+    let key = keys::termination_batch(name);
     let mut preconditions = vec![Precondition {
         key: key.clone(),
         version: 0,
--- a/src/autoscaler/reconciler.rs
+++ b/src/autoscaler/reconciler.rs
@@ -534,7 +534,7 @@
     }
 
     async fn return_leaving(&self, name: &str, mut l: TerminationBatch) {
-        let key = keys::leaving(name);
+        let key = keys::termination_batch(name);
         if !self.watch_cache.linearizable_read().await {
             return self.sleep(SECOND / 4).await;
         }
@@ -733,7 +733,7 @@
                 .iter()
                 .filter(|(id, h)| {
                     matches!(h.state, MachineState::Lost | MachineState::Returning)
-                        && !v.is_leaving(id)
+                        && !v.is_terminating(id)
                         && !mem.returning.borrow().contains(*id)
                 })
                 .map(|(id, _)| (v.tasks_on(id).is_none(), id.clone()))
@@ -900,7 +900,7 @@
             continue;
         }
         t.mutations.push(Mutation::Delete {
-            key: keys::leaving(name),
+            key: keys::termination_batch(name),
         });
     }
     (!t.mutations.is_empty()).then_some(t)
--- a/src/fairness/rounds.rs
+++ b/src/fairness/rounds.rs
@@ -143,12 +143,12 @@
             // An older version does not know the key, and there is nothing to say.
             if view.layout.is_none()
                 || !view
-                    .ends()
+                    .recent_job_ends()
                     .any(|e| e.revision > view.service_levels.revision)
             {
                 return;
             }
-            let ends = view.ends().cloned();
+            let ends = view.recent_job_ends().cloned();
             let next = view
                 .service_levels
                 .with(ends, view.revision, self.value_limit());
--- a/src/fairness/service_levels.rs
+++ b/src/fairness/service_levels.rs
@@ -114,7 +114,7 @@
     // With the ends that the value does not count yet.
     let all = v
         .service_levels
-        .with(v.ends().cloned(), u64::MAX, usize::MAX);
+        .with(v.recent_job_ends().cloned(), u64::MAX, usize::MAX);
     let mut rows: BTreeMap<(&str, &str), ServiceLevelRow> = BTreeMap::new();
     for (key, e) in &all.ended {
         if let Some(k) = parse(key) {
--- a/src/jobs/api.rs
+++ b/src/jobs/api.rs
@@ -159,7 +159,7 @@
         }
         if known.is_none() {
             // Final states are not loaded at the start: ask for this one.
-            match self.watch_cache.read_final(&JobId::from(id)).await {
+            match self.watch_cache.read_finished_job(&JobId::from(id)).await {
                 Ok(Some(f)) => return Ok(Some(final_answer(id, f))),
                 Ok(None) => {}
                 Err(_) => return Err(()),
@@ -172,7 +172,7 @@
         // What is told of a job follows from all that it needs: a user who was told that one of them
         // is cancelled must not hear anything else of this one. Not seeing one proves nothing.
         for n in self.unknown_above(id) {
-            match self.watch_cache.read_final(&n).await {
+            match self.watch_cache.read_finished_job(&n).await {
                 Ok(Some(_)) => {}
                 Ok(None) | Err(_) => return Err(()),
             }
@@ -181,7 +181,7 @@
     }
 
     fn unknown_above(&self, id: &str) -> Vec<JobId> {
-        self.watch_cache.view().unknown_above(id)
+        self.watch_cache.view().unknown_ancestors(id)
     }
 
     /// Checks the jobs that a submission names and gives those that count.
@@ -198,13 +198,13 @@
         if unknown.len() > ASKS {
             // Those that are over are kept at hand, so that the next try needs to ask for fewer.
             for n in unknown.iter().take(ASKS) {
-                let _ = self.watch_cache.read_final(n).await;
+                let _ = self.watch_cache.read_finished_job(n).await;
             }
             return Err(NoNeeds::Later);
         }
         let mut missing = false;
         for n in &unknown {
-            match self.watch_cache.read_final(n).await {
+            match self.watch_cache.read_finished_job(n).await {
                 Ok(f) => missing |= f.is_none(),
                 Err(_) => return Err(NoNeeds::Later),
             }
@@ -288,9 +288,9 @@
                 }
             }
         }
-        if self.watch_cache.client().write_queue() > QUEUE {
+        if self.watch_cache.client().write_delay() > QUEUE {
             tracing::debug!(
-                queue = self.watch_cache.client().write_queue(),
+                queue = self.watch_cache.client().write_delay(),
                 "submission: too many writes wait"
             );
             return Response::later(429, COME_BACK);
--- a/src/jobs/commit.rs
+++ b/src/jobs/commit.rs
@@ -184,7 +184,7 @@
     let mut changed: BTreeMap<u32, TaskBlock> = BTreeMap::new();
     // Keys that will change: blocks, or the keys that they were split into.
     let mut units: BTreeSet<(u32, u32)> = BTreeSet::new();
-    let unit = |i: u32| match job.split.get((i / BLOCK) as usize) {
+    let unit = |i: u32| match job.tasks_per_part.get((i / BLOCK) as usize) {
         Some(per) if *per > 0 => (i / BLOCK, i % BLOCK / per),
         _ => (i / BLOCK, 0),
     };
@@ -346,7 +346,7 @@
                 return None;
             }
             // The rest is deleted later, in steps.
-            for key in view.keys_of(id) {
+            for key in view.secondary_keys(id) {
                 if g.changes.len() < limits.max_mutations {
                     g.changes.push(Mutation::Delete { key });
                 }
@@ -381,7 +381,7 @@
         && !g.changes.iter().any(|c| c.key() == job_key.as_str())
     {
         let first = changed.get(&0).unwrap_or(&job.blocks[0]);
-        match (limits.packed, job.split.first()) {
+        match (limits.packed, job.tasks_per_part.first()) {
             (true, Some(per)) if *per > 0 => {
                 let r = (spec.as_ref(), StoredBlock::Split(*per));
                 g.changes.push(put(job_key, &r));
@@ -461,7 +461,7 @@
             }
             return false;
         }
-        let per = job.split.get(n as usize).copied().unwrap_or(0);
+        let per = job.tasks_per_part.get(n as usize).copied().unwrap_or(0);
         if per > 0 {
             let old = job.blocks.get(n as usize);
             let leaves: Vec<(u32, StoredBlock)> = leaves(b, per)
@@ -473,7 +473,7 @@
                 .all(|(_, l)| json_size(l) <= limits.max_value_bytes)
             {
                 for (k, leaf) in leaves {
-                    let key = keys::slots(id, n, per, k);
+                    let key = keys::block_part(id, n, per, k);
                     self.preconditions.insert(key.clone(), view.version(&key));
                     self.bytes += json_size(&leaf);
                     self.changes.push(put(key, &leaf));
@@ -524,11 +524,11 @@
         }
         let mut out = Vec::new();
         for (k, leaf) in leaves(b, per) {
-            let key = keys::slots(id, n, per, k);
+            let key = keys::block_part(id, n, per, k);
             let stamp = view.version(&key);
             let untouched = stamp == 0 && leaf.0.iter().all(|s| *s == TaskState::Waiting(0));
             self.preconditions.insert(key.clone(), stamp);
-            if !untouched && view.leaf(id, n, per, k) != Some(&leaf) {
+            if !untouched && view.block_part(id, n, per, k) != Some(&leaf) {
                 let leaf = StoredBlock::Packed(leaf);
                 self.bytes += json_size(&leaf);
                 out.push(put(key, &leaf));
@@ -566,7 +566,7 @@
     limits: TransactionLimits,
 ) -> Option<Group> {
     let b = job.blocks.get(n as usize)?;
-    let per = job.split.get(n as usize).copied().unwrap_or(0);
+    let per = job.tasks_per_part.get(n as usize).copied().unwrap_or(0);
     let mut g = Group::default();
     let job_key = keys::job(id);
     g.preconditions
@@ -605,7 +605,7 @@
     let mut g = Group::default();
     let key = keys::job(id);
     g.preconditions.insert(key.clone(), view.version(&key));
-    match job.split.first() {
+    match job.tasks_per_part.first() {
         Some(per) if *per > 0 => g.changes.push(put(key, &(spec, StoredBlock::Split(*per)))),
         _ => {
             let first = job.blocks.first()?;
@@ -665,7 +665,10 @@
         for j in all {
             // Quotes around it all, a space between two.
             if bytes.saturating_add(j.len() + 3) > limits.max_value_bytes {
-                extra.push((keys::needs(id, extra.len() as u32), JobIdList::default()));
+                extra.push((
+                    keys::dependency_list(id, extra.len() as u32),
+                    JobIdList::default(),
+                ));
                 bytes = 0;
             }
             bytes += j.len() + 1;
@@ -679,7 +682,7 @@
     let missing: Vec<&(String, JobIdList)> = extra
         .iter()
         .enumerate()
-        .filter(|(k, (_, list))| view.need_list(id, *k as u32) != Some(&list.0))
+        .filter(|(k, (_, list))| view.dependency_list(id, *k as u32) != Some(&list.0))
         .map(|(_, x)| x)
         .collect();
     if !missing.is_empty() {
--- a/src/jobs/pipelines.rs
+++ b/src/jobs/pipelines.rs
@@ -28,7 +28,7 @@
     let (mut needs, mut unknown) = (Vec::new(), Vec::new());
     let mut cancelled = None;
     for n in names {
-        match (view.ended(n), view.jobs.get(n)) {
+        match (view.known_finished_job(n), view.jobs.get(n)) {
             (Some(f), _) if f.cancelled => cancelled = Some(n),
             (Some(_), _) => {}
             (None, Some(j)) if j.spec.kind == JobKind::Service => {
@@ -63,7 +63,7 @@
 /// What the view says of a job. Only a final state may be told without a newer read; and nothing
 /// while something is unknown of the jobs that it needs (`ClusterState::unknown_above`).
 pub fn answer(view: &ClusterState, id: &str) -> Option<JobAnswer> {
-    if let Some(f) = view.ended(id) {
+    if let Some(f) = view.known_finished_job(id) {
         return Some(final_answer(id, f));
     }
     let j = view.jobs.get(id)?;
@@ -81,7 +81,7 @@
         dependencies: j
             .dependencies
             .iter()
-            .filter(|n| view.ended(n).is_none())
+            .filter(|n| view.known_finished_job(n).is_none())
             .take(SHOWN)
             .map(|n| n.to_string())
             .collect(),
--- a/src/membership/keep.rs
+++ b/src/membership/keep.rs
@@ -484,7 +484,7 @@
     pub fn cancellation_watermark(&self) -> Micros {
         let names = self.settings.peers.iter().map(|s| s.name.as_str());
         let words = self.membership.words.borrow();
-        words.cancellation_watermark(self.watch_cache.whole_at(), names, self.clock.now())
+        words.cancellation_watermark(self.watch_cache.complete_up_to(), names, self.clock.now())
     }
 
     /// Answers a peer.
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -65,7 +65,7 @@
     /// What is placed, and what waits and may start.
     pub fn open(v: &'a ClusterState, teams: &'a [Team]) -> QuotaLedger<'a> {
         let mut by: HashMap<&str, Usage> = HashMap::default();
-        for (team, r) in &v.index().teams {
+        for (team, r) in &v.indexes().teams {
             let u = by.entry(team).or_default();
             (u.cpus, u.gpus, u.wanted_cpus, u.wanted_gpus) = (r.cpus, r.gpus, r.cpus, r.gpus);
         }
--- a/src/reconciliation/decide.rs
+++ b/src/reconciliation/decide.rs
@@ -139,7 +139,7 @@
             }
         }
         // What is over, and what was withdrawn before it was placed.
-        ends.extend(view.index().finished.iter().map(|id| (0, id)));
+        ends.extend(view.indexes().finished.iter().map(|id| (0, id)));
         ends.sort_by_key(|(at, id)| (!view.has_dependents(id), *at, *id));
         let (mut level, burst) = p.write_budget;
         let waited = now.saturating_sub(self.arrays_at);
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -106,7 +106,7 @@
         let full =
             now.saturating_sub(self.reconciler.swept.get()) >= self.reconciler.sweep_every.get();
         let mut changed = self.workers.take_changed();
-        changed.extend(self.watch_cache.take_touched());
+        changed.extend(self.watch_cache.take_changed_machines());
         let check = now.saturating_sub(self.reconciler.checked.get()) >= CHECK;
         if check {
             self.reconciler.checked.set(now);
@@ -189,7 +189,7 @@
         let l = self.state_limits();
         self.watch_cache
             .client()
-            .share(l.rps * REQUEST_SHARE / n, l.write_rps * WRITE_SHARE / n);
+            .set_rates(l.rps * REQUEST_SHARE / n, l.write_rps * WRITE_SHARE / n);
     }
 
     /// What the machines' reports prove.
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -319,7 +319,7 @@
     gpus.waits = all_wait
         && v.waiting()
             .any(|(_, j)| j.spec.resources.gpus > 0 && j.queued() > 0);
-    for [cpus, g, memory] in v.index().gpu_task_sizes.keys() {
+    for [cpus, g, memory] in v.indexes().gpu_task_sizes.keys() {
         gpus.need = Resources {
             cpus: gpus.need.cpus.max(*cpus),
             gpus: gpus.need.gpus.max(*g),
@@ -806,7 +806,7 @@
 
 /// Machines on which so many CPUs may be free, in order of their names.
 fn with_room<'a>(s: &SchedulingInput<'a>, least: i64) -> Vec<&'a MachineId> {
-    let index = s.view.index();
+    let index = s.view.indexes();
     let from = (least, MachineId::from(""));
     let mut ids: Vec<&MachineId> = index.by_free_cpus.range(from..).map(|x| &x.1).collect();
     let short = |id: &MachineId| s.view.free_cpus(id).is_some_and(|n| n < least);
@@ -905,8 +905,8 @@
     };
     if s.place_gangs {
         // Gangs of which a task waits while others are placed, and those on machines about to be taken.
-        let mut gangs: BTreeSet<&JobId> = v.index().waiting.iter().collect();
-        for machine in v.index().not_accepting.iter().filter(|h| draining(h)) {
+        let mut gangs: BTreeSet<&JobId> = v.indexes().waiting.iter().collect();
+        for machine in v.indexes().not_accepting.iter().filter(|h| draining(h)) {
             gangs.extend(
                 v.tasks_on(machine)
                     .into_iter()
@@ -937,7 +937,7 @@
             }
         }
     }
-    for machine in &v.index().not_accepting {
+    for machine in &v.indexes().not_accepting {
         let Some(h) = v.machines.get(machine) else {
             continue;
         };
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,147 +1,125 @@
-//! Client of the state service: a budget of requests, transactions, leases, lists and watches.
+//! Client of the state service: transactions, leases, lists, reads and watches, within a budget of requests
+//! and writes. It keeps nothing of what it reads.
 
+use super::token_bucket::TokenBucket;
 use crate::time::{Clock, MILLI, Micros, SECOND, dur};
 use crate::wire::client::{Client, ClientResponse};
 use crate::wire::state::{self, Lease, LeaseRequest, Page, Revision, Transaction, WatchResponse};
 use crate::wire::{WireError, decode, encode};
 use async_io::Timer;
 use http_types::Method;
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+/// Most time for a transaction: afterwards its outcome counts as unknown, and its keys are read again.
+const TRANSACTION_TIMEOUT: Micros = 3 * SECOND / 2;
+/// Most time for a page of a list: the largest answers there are.
+const LIST_TIMEOUT: Micros = 5 * SECOND;
+/// Most time to take or renew a lease: short, so that a failed renewal is tried again before the expiry.
+const LEASE_TIMEOUT: Micros = SECOND;
+/// Most time for a watch that does not wait for changes.
+const READ_TIMEOUT: Micros = SECOND;
+/// Most time for a watch beyond the time that it waits for changes. During an outage of the service an open
+/// watch stays open without an answer.
+const WATCH_GRACE: Micros = 2 * SECOND;
+
 /// What became of a transaction.
 #[derive(Debug, PartialEq)]
 pub enum TransactionOutcome {
     /// Carried out at this revision.
     Done(u64),
-    /// A condition failed.
+    /// Not carried out: preconditions on these keys failed.
     Conflict(Vec<String>),
-    /// Not carried out: over a limit or out of service.
+    /// Not carried out, with this HTTP status: malformed, over a limit or out of service.
     Refused(u16),
-    /// No answer: may have been carried out, or may yet be.
+    /// No answer that can be read: may have been carried out, or may yet be.
     Unknown,
 }
 
-/// A rate that refills with time, with a burst of one second's worth.
-pub struct TokenBucket {
-    rate: f64,
-    level: f64,
-    at: Micros,
+/// Smallest and largest revision at which the pages of a list were read.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RevisionRange {
+    /// Every change up to it is in the list.
+    pub smallest: u64,
+    /// No change after it is in the list.
+    pub largest: u64,
 }
 
-impl TokenBucket {
-    /// A full bucket.
-    pub fn new(rate: f64) -> TokenBucket {
-        TokenBucket {
-            rate,
-            level: rate.max(1.0),
-            at: 0,
-        }
-    }
-    fn fill(&mut self, now: Micros) {
-        if self.at > 0 {
-            self.level += now.saturating_sub(self.at) as f64 / 1e6 * self.rate;
-        }
-        self.at = now;
-        self.level = self.level.min(self.rate.max(1.0));
-    }
-    /// Takes `n` and tells how long to wait for it. Whoever asks first is served first.
-    pub fn take(&mut self, n: f64, now: Micros) -> Micros {
-        self.fill(now);
-        self.level -= n;
-        self.wait()
-    }
-    fn wait(&self) -> Micros {
-        if self.level >= 0.0 {
-            0
-        } else {
-            (-self.level / self.rate * 1e6) as Micros + MILLI
+impl RevisionRange {
+    /// Of no page yet.
+    pub const EMPTY: RevisionRange = RevisionRange {
+        smallest: u64::MAX,
+        largest: 0,
+    };
+
+    /// The range that covers both.
+    #[must_use]
+    pub fn union(self, other: RevisionRange) -> RevisionRange {
+        RevisionRange {
+            smallest: self.smallest.min(other.smallest),
+            largest: self.largest.max(other.largest),
         }
     }
-    /// What could be taken without waiting; negative while others wait.
-    pub fn level(&mut self, now: Micros) -> f64 {
-        self.fill(now);
-        self.level
-    }
-    /// Another rate from now on.
-    pub fn set_rate(&mut self, rate: f64, now: Micros) {
-        self.fill(now);
-        self.rate = rate;
-    }
-    /// How long one more would have to wait.
-    pub fn queue(&mut self, now: Micros) -> Micros {
-        self.fill(now);
-        self.wait()
-    }
 }
 
-/// The client.
+/// The client. Every call waits for the budget first and then for the answer.
 pub struct StoreClient {
     http: Rc<Client>,
-    addr: SocketAddr,
+    address: SocketAddr,
     clock: Clock,
     requests: RefCell<TokenBucket>,
     writes: RefCell<TokenBucket>,
-    /// When a request was last answered other than by a refusal.
-    pub last_ok: Cell<Micros>,
-    /// When a request last failed or was refused.
-    pub last_bad: Cell<Micros>,
 }
 
-/// How long one request may take.
-const LIMIT: Micros = 3 * SECOND / 2;
-
 impl StoreClient {
-    /// A client that takes `share` of the limits.
+    /// A client with a budget of requests and of written keys, each a second.
     pub fn new(
         http: Rc<Client>,
-        addr: SocketAddr,
+        address: SocketAddr,
         clock: Clock,
-        rps: f64,
-        write_rps: f64,
+        requests_per_s: f64,
+        writes_per_s: f64,
     ) -> StoreClient {
         StoreClient {
             http,
-            addr,
+            address,
             clock,
-            requests: RefCell::new(TokenBucket::new(rps)),
-            writes: RefCell::new(TokenBucket::new(write_rps)),
-            last_ok: Cell::new(0),
-            last_bad: Cell::new(0),
+            requests: RefCell::new(TokenBucket::new(requests_per_s)),
+            writes: RefCell::new(TokenBucket::new(writes_per_s)),
         }
     }
 
-    async fn budget(&self, writes: usize) {
+    /// Waits until one request that writes so many keys is within the budget.
+    async fn wait_for_budget(&self, writes: usize) {
         let now = self.clock.now();
-        let mut wait = self.requests.borrow_mut().take(1.0, now);
+        let mut delay = self.requests.borrow_mut().take(1.0, now);
         if writes > 0 {
-            wait = wait.max(self.writes.borrow_mut().take(writes as f64, now));
+            delay = delay.max(self.writes.borrow_mut().take(writes as f64, now));
         }
-        if wait > 0 {
-            Timer::after(dur(wait)).await;
+        if delay > 0 {
+            Timer::after(dur(delay)).await;
         }
     }
 
     /// How long a write would have to wait for the budget.
-    pub fn write_queue(&self) -> Micros {
+    pub fn write_delay(&self) -> Micros {
         let now = self.clock.now();
-        self.writes.borrow_mut().queue(now)
+        self.writes.borrow_mut().delay(now)
     }
 
-    /// Changes that could be written at once, and the most that this ever is.
+    /// Keys that could be written at once, and the most that this ever is.
     pub fn write_level(&self) -> (f64, f64) {
         let now = self.clock.now();
-        let mut w = self.writes.borrow_mut();
-        let level = w.level(now);
-        (level, w.rate.max(1.0))
+        let mut writes = self.writes.borrow_mut();
+        (writes.available(now), writes.burst())
     }
 
-    /// Shares the limits among so many controllers.
-    pub fn share(&self, rps: f64, write_rps: f64) {
+    /// Sets another budget from now on: the limits are shared by the controllers that are alive.
+    pub fn set_rates(&self, requests_per_s: f64, writes_per_s: f64) {
         let now = self.clock.now();
-        self.requests.borrow_mut().set_rate(rps, now);
-        self.writes.borrow_mut().set_rate(write_rps, now);
+        self.requests.borrow_mut().set_rate(requests_per_s, now);
+        self.writes.borrow_mut().set_rate(writes_per_s, now);
     }
 
     async fn call(
@@ -149,138 +127,148 @@
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
-        limit: Micros,
+        timeout: Micros,
     ) -> Result<ClientResponse, WireError> {
-        let res = self.http.call(self.addr, method, path, body, limit).await;
-        let now = self.clock.now();
-        match &res {
-            Ok(a) if a.status == 503 => self.last_bad.set(now),
-            Ok(a) if a.status == 429 => tracing::info!("state service: over the limit"),
-            Ok(_) => self.last_ok.set(now),
-            Err(_) => self.last_bad.set(now),
+        let call = self.http.call(self.address, method, path, body, timeout);
+        let response = call.await;
+        if let Ok(response) = &response
+            && response.status == 429
+        {
+            tracing::info!("state service refused a request over its rate limit");
         }
-        res
+        response
     }
 
     /// Runs a transaction.
-    pub async fn transaction(&self, t: &Transaction) -> TransactionOutcome {
-        self.budget(t.mutations.len()).await;
+    pub async fn transaction(&self, transaction: &Transaction) -> TransactionOutcome {
+        self.wait_for_budget(transaction.mutations.len()).await;
         if tracing::enabled!(tracing::Level::DEBUG) {
-            tracing::debug!(changes = t.kinds(), "transaction");
+            tracing::debug!(mutations = transaction.kinds(), "transaction sent");
         }
-        match self
-            .call(Method::Post, state::TXN, Some(encode(t)), LIMIT)
-            .await
-        {
-            Ok(a) if a.status == 200 => match decode::<Revision>(&a.body) {
-                Ok(r) => TransactionOutcome::Done(r.revision),
-                Err(_) => TransactionOutcome::Unknown,
-            },
-            Ok(a) if a.status == 409 => TransactionOutcome::Conflict(
-                decode::<Revision>(&a.body)
-                    .map(|r| r.failed)
-                    .unwrap_or_default(),
-            ),
-            Ok(a) if matches!(a.status, 400 | 429 | 503) => {
-                if a.status == 400 && !String::from_utf8_lossy(&a.body).contains("no such lease") {
-                    // A lease that ended says so; anything else is a fault of ours.
-                    tracing::error!(
-                        first = t.mutations.first().map(state::Mutation::key),
-                        changes = t.mutations.len(),
-                        preconditions = t.preconditions.len(),
-                        largest = t.largest(),
-                        "transaction refused: {}",
-                        String::from_utf8_lossy(&a.body).replace('\n', " ")
-                    );
-                }
-                TransactionOutcome::Refused(a.status)
-            }
-            _ => TransactionOutcome::Unknown,
+        let body = Some(encode(transaction));
+        let call = self.call(Method::Post, state::TXN, body, TRANSACTION_TIMEOUT);
+        match call.await {
+            Ok(response) => transaction_outcome(transaction, &response),
+            Err(_) => TransactionOutcome::Unknown,
         }
     }
 
-    /// Reads every key under a prefix; gives the smallest and largest revision of its pages.
+    /// Reads every key under a prefix, in pages that may be of different revisions.
     pub async fn list(
         &self,
         prefix: &str,
         mut each: impl FnMut(state::Item),
-    ) -> Result<(u64, u64), WireError> {
+    ) -> Result<RevisionRange, WireError> {
         let mut after: Option<String> = None;
-        let (mut lo, mut hi) = (u64::MAX, 0);
+        let mut revisions = RevisionRange::EMPTY;
         loop {
-            self.budget(0).await;
-            let a = self
-                .call(
-                    Method::Get,
-                    &state::list(prefix, after.as_deref()),
-                    None,
-                    5 * SECOND,
-                )
-                .await?;
-            let page: Page = a.ok()?;
-            lo = lo.min(page.revision);
-            hi = hi.max(page.revision);
-            after = page.items.last().map(|i| i.key.clone());
-            for i in page.items {
-                each(i);
+            self.wait_for_budget(0).await;
+            let path = state::list(prefix, after.as_deref());
+            let call = self.call(Method::Get, &path, None, LIST_TIMEOUT);
+            let page: Page = call.await?.ok()?;
+            revisions = revisions.union(RevisionRange {
+                smallest: page.revision,
+                largest: page.revision,
+            });
+            after = page.items.last().map(|item| item.key.clone());
+            for item in page.items {
+                each(item);
             }
             if !page.more || after.is_none() {
-                return Ok((lo, hi));
+                return Ok(revisions);
             }
         }
     }
 
-    /// Reads one key: its item, or the revision at which it was missing.
-    pub async fn get(
-        &self,
-        key: &str,
-        limit: Micros,
-    ) -> Result<Result<state::Item, u64>, WireError> {
-        self.budget(0).await;
-        let a = self
-            .call(Method::Get, &state::key(key), None, limit)
-            .await?;
-        match a.status {
-            200 => Ok(Ok(decode(&a.body)?)),
-            404 => Ok(Err(decode::<Revision>(&a.body)?.revision)),
-            s => Err(WireError::Status(s)),
+    /// Reads one key; `None` if it does not exist.
+    pub async fn get(&self, key: &str, timeout: Micros) -> Result<Option<state::Item>, WireError> {
+        self.wait_for_budget(0).await;
+        let path = state::key(key);
+        let response = self.call(Method::Get, &path, None, timeout).await?;
+        match response.status {
+            200 => Ok(Some(decode(&response.body)?)),
+            404 => {
+                // The service says at which revision it was missing; a 404 without that is not its answer.
+                decode::<Revision>(&response.body)?;
+                Ok(None)
+            }
+            status => Err(WireError::Status(status)),
         }
     }
 
-    /// Asks for changes after a revision; with a wait of 0 this is a read begun now.
+    /// Asks for changes after a revision and waits for the first so long. With a wait of 0 this is a
+    /// linearizable read: its answer holds every change that was committed before the call.
     pub async fn watch(
         &self,
         prefix: &str,
         after: u64,
         wait: Micros,
     ) -> Result<WatchResponse, WireError> {
-        self.budget(0).await;
+        self.wait_for_budget(0).await;
         let path = state::watch(prefix, after, wait / MILLI);
-        // An open watch stays open during an outage; give it time beyond its wait, but not for ever.
-        let limit = if wait == 0 { SECOND } else { wait + 2 * SECOND };
-        self.call(Method::Get, &path, None, limit).await?.ok()
+        let timeout = if wait == 0 {
+            READ_TIMEOUT
+        } else {
+            wait + WATCH_GRACE
+        };
+        self.call(Method::Get, &path, None, timeout).await?.ok()
     }
 
-    /// Takes a lease.
-    pub async fn lease(&self, ttl: Micros) -> Result<u64, WireError> {
+    /// Takes a lease and returns its id.
+    pub async fn lease(&self, time_to_live: Micros) -> Result<u64, WireError> {
         let body = encode(&LeaseRequest {
-            ttl_ms: ttl / MILLI,
+            ttl_ms: time_to_live / MILLI,
         });
-        let a = self
-            .call(Method::Post, state::LEASES, Some(body), SECOND)
-            .await?;
-        Ok(a.ok::<Lease>()?.id)
+        let call = self.call(Method::Post, state::LEASES, Some(body), LEASE_TIMEOUT);
+        Ok(call.await?.ok::<Lease>()?.id)
     }
 
-    /// Renews a lease: false if it has ended.
+    /// Renews a lease: false if it has expired.
     pub async fn renew(&self, id: u64) -> Result<bool, WireError> {
-        let a = self
-            .call(Method::Post, &state::renew(id), Some(Vec::new()), SECOND)
-            .await?;
-        match a.status {
+        let path = state::renew(id);
+        let call = self.call(Method::Post, &path, Some(Vec::new()), LEASE_TIMEOUT);
+        match call.await?.status {
             200 => Ok(true),
             404 => Ok(false),
-            s => Err(WireError::Status(s)),
+            status => Err(WireError::Status(status)),
+        }
+    }
+}
+
+/// What the service's answer says of a transaction.
+fn transaction_outcome(transaction: &Transaction, response: &ClientResponse) -> TransactionOutcome {
+    match response.status {
+        200 => match decode::<Revision>(&response.body) {
+            Ok(answer) => TransactionOutcome::Done(answer.revision),
+            Err(_) => TransactionOutcome::Unknown,
+        },
+        409 => {
+            let failed = decode::<Revision>(&response.body).map(|answer| answer.failed);
+            TransactionOutcome::Conflict(failed.unwrap_or_default())
+        }
+        status @ (400 | 429 | 503) => {
+            if status == 400 {
+                log_malformed(transaction, response);
+            }
+            TransactionOutcome::Refused(status)
         }
+        _ => TransactionOutcome::Unknown,
+    }
+}
+
+/// Logs that the service refused a transaction as malformed, which is a fault of ours, unless it only says
+/// that the lease of one of the keys has expired.
+fn log_malformed(transaction: &Transaction, response: &ClientResponse) {
+    let reason = String::from_utf8_lossy(&response.body);
+    if reason.contains("no such lease") {
+        return;
     }
+    tracing::error!(
+        first = transaction.mutations.first().map(state::Mutation::key),
+        mutations = transaction.mutations.len(),
+        preconditions = transaction.preconditions.len(),
+        largest_value_bytes = transaction.largest(),
+        reason = reason.replace('\n', " "),
+        "state service refused a transaction as malformed"
+    );
 }
--- /dev/null
+++ b/src/store/cluster_state/dependencies.rs
@@ -0,0 +1,258 @@
+//! Pipelines: dependencies between jobs, and what follows from them for each job: whether it may start, is
+//! cancelled with a dependency, and how urgent its dependents make it.
+
+use super::{ClusterState, Job, job};
+use crate::jobs::model::{JobId, JobIdList};
+use crate::time::{Micros, SECOND};
+use crate::wire::from_value;
+use crate::wire::user::Priority;
+use ciborium::Value;
+use foldhash::{HashSet, HashSetExt};
+use std::collections::BTreeMap;
+
+/// What one step of a pipeline takes beyond its run time: its end is reported and written, the next step is
+/// placed, commanded and fetches its image.
+const STEP_OVERHEAD: Micros = 4 * SECOND;
+
+/// What a job's dependencies say of it.
+struct Readiness {
+    ready: bool,
+    dependency_cancelled: bool,
+    waiting_since: Micros,
+}
+
+/// How urgent a job is, by itself and by its dependents.
+struct Urgency {
+    priority: Priority,
+    deadline_at: Option<Micros>,
+    deadline_after_submission: Micros,
+}
+
+impl ClusterState {
+    pub(super) fn apply_dependency_list(&mut self, name: &str, value: Option<&Value>) {
+        let Some((id, Ok(number))) = name
+            .split_once('/')
+            .map(|(id, number)| (id, number.parse()))
+        else {
+            return;
+        };
+        let id: JobId = id.into();
+        let lists = self.dependency_lists.entry(id.clone()).or_default();
+        match value.and_then(from_value) {
+            Some(JobIdList(list)) => {
+                lists.insert(number, list);
+            }
+            None => {
+                lists.remove(&number);
+            }
+        }
+        if lists.is_empty() {
+            self.dependency_lists.remove(&id);
+        }
+        self.link_dependencies(&id);
+    }
+
+    /// Enters a job's dependencies, those of its record and of its lists, once its record is known.
+    pub(super) fn link_dependencies(&mut self, id: &JobId) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        if job.spec.dependencies.is_empty() {
+            return;
+        }
+        job.dependencies = job.spec.dependencies.jobs.0.clone();
+        for list in self.dependency_lists.get(id).into_iter().flatten() {
+            job.dependencies.extend(list.1.iter().cloned());
+        }
+        job.in_pipeline = true;
+        for dependency in job.dependencies.clone() {
+            let finished = self.finished_jobs.get(&dependency);
+            if let (Some(finished), false) = (
+                finished,
+                self.finished_dependencies.contains_key(&dependency),
+            ) {
+                self.finished_dependencies
+                    .insert(dependency.clone(), finished);
+            }
+            if let Some(job) = self.jobs.get_mut(&dependency) {
+                job.in_pipeline = true;
+            }
+            self.dependents
+                .entry(dependency)
+                .or_default()
+                .insert(id.clone());
+        }
+        self.refresh_readiness(vec![id.clone()]);
+        self.refresh_urgency(vec![id.clone()]);
+    }
+
+    /// Takes a job out of the dependents of its dependencies.
+    pub(super) fn unlink_dependencies(&mut self, id: &JobId, dependencies: &[JobId]) {
+        for dependency in dependencies {
+            if let Some(dependents) = self.dependents.get_mut(dependency) {
+                dependents.remove(id);
+                if dependents.is_empty() {
+                    self.dependents.remove(dependency);
+                    self.finished_dependencies.remove(dependency);
+                }
+            }
+        }
+    }
+
+    /// Works out again whether jobs may start and whether they are cancelled with a dependency. A
+    /// cancellation reaches every job downstream at once, without a write in between.
+    pub(super) fn refresh_readiness(&mut self, mut pending: Vec<JobId>) {
+        while let Some(id) = pending.pop() {
+            let Some(job) = self.jobs.get(&id) else {
+                continue;
+            };
+            let readiness = self.readiness(&id, job);
+            let changed = job.dependency_cancelled != readiness.dependency_cancelled;
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.ready = readiness.ready;
+                job.dependency_cancelled = readiness.dependency_cancelled;
+                job.waiting_since = readiness.waiting_since;
+            }
+            self.index_job(&id);
+            if changed {
+                self.epoch += 1;
+                pending.extend(self.dependents.get(&id).into_iter().flatten().cloned());
+            }
+        }
+    }
+
+    fn readiness(&self, id: &JobId, job: &Job) -> Readiness {
+        let lists_read = self.dependency_lists.get(id).map_or(0, BTreeMap::len);
+        let mut all_done = lists_read >= job.spec.dependencies.keys as usize;
+        let mut any_cancelled = false;
+        let mut waiting_since = job.spec.submitted_at;
+        for dependency in &job.dependencies {
+            let finished = self.finished_dependencies.get(dependency);
+            match (finished, self.jobs.get(dependency)) {
+                (Some(finished), _) if !finished.cancelled => {
+                    waiting_since = waiting_since.max(finished.finished_at);
+                }
+                (Some(_), _) => any_cancelled = true,
+                (None, Some(unfinished)) => {
+                    all_done = false;
+                    any_cancelled |= unfinished.cancelled();
+                }
+                (None, None) => all_done = false,
+            }
+        }
+        Readiness {
+            ready: all_done && !any_cancelled,
+            dependency_cancelled: any_cancelled,
+            waiting_since,
+        }
+    }
+
+    /// Works out again which priority and deadline jobs inherit from their dependents.
+    pub(super) fn refresh_urgency(&mut self, mut pending: Vec<JobId>) {
+        while let Some(id) = pending.pop() {
+            let Some(job) = self.jobs.get(&id) else {
+                continue;
+            };
+            let urgency = self.urgency(&id, job);
+            if (urgency.priority, urgency.deadline_at) == (job.priority, job.deadline_at) {
+                continue;
+            }
+            pending.extend(job.dependencies.iter().cloned());
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.priority = urgency.priority;
+                job.deadline_at = urgency.deadline_at;
+                job.deadline_after_submission = urgency.deadline_after_submission;
+            }
+        }
+    }
+
+    /// The highest priority and the earliest deadline among the job's own and those of its dependents, whose
+    /// deadlines count less the time that the dependents themselves take.
+    fn urgency(&self, id: &JobId, job: &Job) -> Urgency {
+        let mut urgency = Urgency {
+            priority: job.spec.priority,
+            deadline_at: job::own_deadline(&job.spec),
+            deadline_after_submission: job.spec.deadline.unwrap_or(0),
+        };
+        for dependent in self.dependents.get(id).into_iter().flatten() {
+            let Some(dependent) = self.jobs.get(dependent).filter(|job| !job.cancelled()) else {
+                continue;
+            };
+            urgency.priority = urgency.priority.min(dependent.priority);
+            let step_time = dependent
+                .spec
+                .estimated_run_time
+                .saturating_add(STEP_OVERHEAD);
+            let latest_end = dependent
+                .deadline_at
+                .map(|deadline| deadline.saturating_sub(step_time));
+            let earlier = |end: Micros| urgency.deadline_at.is_none_or(|known| end < known);
+            if latest_end.is_some_and(earlier) {
+                urgency.deadline_at = latest_end;
+                urgency.deadline_after_submission = dependent.deadline_after_submission;
+            }
+        }
+        urgency
+    }
+
+    /// Jobs that a job depends on, directly or through others, of which nothing is known: neither among the
+    /// unfinished ones nor how they ended. Until it is, nothing can be said of this job.
+    pub fn unknown_ancestors(&self, id: &str) -> Vec<JobId> {
+        let mut unknown = Vec::new();
+        let mut seen: HashSet<&str> = HashSet::new();
+        let mut pending: Vec<&str> = vec![id];
+        while let Some(next) = pending.pop() {
+            let job = self.jobs.get(next);
+            for dependency in job.into_iter().flat_map(|job| &job.dependencies) {
+                if self.finished_dependencies.contains_key(dependency) || !seen.insert(dependency) {
+                    continue;
+                }
+                if self.jobs.contains_key(dependency) {
+                    pending.push(dependency);
+                } else {
+                    unknown.push(dependency.clone());
+                }
+            }
+        }
+        unknown
+    }
+
+    /// Direct dependencies of all unfinished jobs of which nothing is known.
+    pub fn unknown_dependencies(&self) -> Vec<JobId> {
+        let known =
+            |id: &JobId| self.finished_dependencies.contains_key(id) || self.jobs.contains_key(id);
+        self.dependents
+            .keys()
+            .filter(|id| !known(id))
+            .cloned()
+            .collect()
+    }
+
+    /// Number of tasks that may start now, or, if all that the job still waits for are jobs whose tasks all
+    /// run, within about the time that a machine takes to boot.
+    pub fn queued_or_blocked(&self, job: &Job) -> u32 {
+        if job.ready || job.cancelled() {
+            return job.queued();
+        }
+        let all_running = |job: &Job| job.ready && job.waiting == 0 && job.placed > 0;
+        let ends_soon = |id: &JobId| {
+            self.finished_dependencies.contains_key(id)
+                || self.jobs.get(id).is_some_and(all_running)
+        };
+        if job.dependencies.iter().all(ends_soon) {
+            job.waiting
+        } else {
+            0
+        }
+    }
+
+    /// What one of a job's dependency lists holds, those that do not fit into its record.
+    pub fn dependency_list(&self, id: &str, number: u32) -> Option<&Vec<JobId>> {
+        self.dependency_lists.get(id)?.get(&number)
+    }
+
+    /// Whether unfinished jobs depend on a job.
+    pub fn has_dependents(&self, id: &str) -> bool {
+        self.dependents.contains_key(id)
+    }
+}
--- /dev/null
+++ b/src/store/cluster_state/task_blocks.rs
@@ -0,0 +1,242 @@
+//! Application of task blocks: block keys, the part keys that a block may be split into, and the counters
+//! and maps that follow each task that changed.
+
+use super::{ClusterState, Job};
+use crate::ids::MachineId;
+use crate::jobs::model::{
+    BLOCK, JobId, JobSpec, MachineUsage, Placement, StoredBlock, TaskBlock, TaskState, fresh,
+};
+use crate::wire::from_value;
+use ciborium::Value;
+use foldhash::{HashMap, HashSet};
+use std::collections::BTreeMap;
+
+/// One of the keys that a block is split into. Ordered by block, tasks in each part, number of the part.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct BlockPartKey {
+    pub(super) block: u32,
+    pub(super) tasks_per_part: u32,
+    pub(super) part: u32,
+}
+
+impl BlockPartKey {
+    /// Reads `job/block/tasks per part/part`. What follows further slashes is ignored.
+    fn parse(name: &str) -> Option<(&str, BlockPartKey)> {
+        let mut fields = name.split('/');
+        let job = fields.next()?;
+        let key = BlockPartKey {
+            block: fields.next()?.parse().ok()?,
+            tasks_per_part: fields.next()?.parse().ok()?,
+            part: fields.next()?.parse().ok()?,
+        };
+        Some((job, key))
+    }
+
+    /// Writes the tasks of this part over their place in the block.
+    fn overlay(&self, block: &mut TaskBlock, part: &TaskBlock) {
+        let tasks_per_part = self.tasks_per_part as usize;
+        let start = tasks_per_part.saturating_mul(self.part as usize);
+        let places = block.0.iter_mut().skip(start);
+        for (place, state) in places.zip(part.0.iter().take(tasks_per_part)) {
+            place.clone_from(state);
+        }
+    }
+}
+
+/// Where tasks are: the maps of `ClusterState` that follow each placement.
+struct TaskLocations<'a> {
+    tasks_by_machine: &'a mut BTreeMap<MachineId, BTreeMap<(JobId, u32), Placement>>,
+    usage_by_machine: &'a mut HashMap<MachineId, MachineUsage>,
+    images: &'a mut HashMap<MachineId, HashSet<String>>,
+}
+
+impl TaskLocations<'_> {
+    fn remove(&mut self, job: &JobId, index: u32, placement: &Placement, spec: &JobSpec) {
+        let machine = &placement.machine;
+        let Some(tasks) = self.tasks_by_machine.get_mut(machine) else {
+            return;
+        };
+        tasks.remove(&(job.clone(), index));
+        if tasks.is_empty() {
+            self.tasks_by_machine.remove(machine);
+            self.usage_by_machine.remove(machine);
+        } else if let Some(usage) = self.usage_by_machine.get_mut(machine) {
+            usage.remove(spec);
+        }
+    }
+
+    fn add(&mut self, job: &JobId, index: u32, placement: &Placement, spec: &JobSpec) {
+        let machine = &placement.machine;
+        self.tasks_by_machine
+            .entry(machine.clone())
+            .or_default()
+            .insert((job.clone(), index), placement.clone());
+        self.usage_by_machine
+            .entry(machine.clone())
+            .or_default()
+            .add(spec);
+        let images = self.images.entry(machine.clone()).or_default();
+        if !images.contains(&spec.image) {
+            images.insert(spec.image.clone());
+        }
+    }
+}
+
+impl ClusterState {
+    pub(super) fn apply_block(&mut self, name: &str, value: Option<&Value>) {
+        let Some((id, block)) = name.split_once('/') else {
+            return;
+        };
+        let (id, Ok(block)): (JobId, Result<u32, _>) = (id.into(), block.parse()) else {
+            return;
+        };
+        let stored: Option<StoredBlock> = value.and_then(from_value);
+        let block_keys = self.block_keys.entry(id.clone()).or_default();
+        match &stored {
+            None => {
+                block_keys.remove(&block);
+                if block_keys.is_empty() {
+                    self.block_keys.remove(&id);
+                }
+            }
+            Some(_) if self.jobs.contains_key(&id) => {
+                block_keys.insert(block, None);
+            }
+            Some(stored) => {
+                block_keys.insert(block, Some(stored.clone()));
+            }
+        }
+        self.put_stored_block(&id, block, stored);
+    }
+
+    /// A part key was written or deleted. It counts once the block's own key says that the block is split so.
+    pub(super) fn apply_block_part(&mut self, name: &str, value: Option<&Value>) {
+        let Some((id, key)) = BlockPartKey::parse(name) else {
+            return;
+        };
+        let id: JobId = id.into();
+        let parts = self.block_parts.entry(id.clone()).or_default();
+        let Some(StoredBlock::Plain(part) | StoredBlock::Packed(part)) = value.and_then(from_value)
+        else {
+            parts.remove(&key);
+            if parts.is_empty() {
+                self.block_parts.remove(&id);
+            }
+            return;
+        };
+        parts.insert(key, part.clone());
+        let Some(job) = self.jobs.get(&id) else {
+            return;
+        };
+        let in_use = job.tasks_per_part.get(key.block as usize) == Some(&key.tasks_per_part);
+        if key.tasks_per_part > 0 && in_use {
+            let mut block = job.blocks[key.block as usize].clone();
+            key.overlay(&mut block, &part);
+            self.put_block(&id, key.block, Some(block));
+        }
+    }
+
+    /// What a part key holds, whether it counts already or not.
+    pub fn block_part(
+        &self,
+        id: &str,
+        block: u32,
+        tasks_per_part: u32,
+        part: u32,
+    ) -> Option<&TaskBlock> {
+        self.block_parts.get(id)?.get(&BlockPartKey {
+            block,
+            tasks_per_part,
+            part,
+        })
+    }
+
+    /// Sets a job's block to what its key holds; `None` makes it fresh.
+    pub(super) fn put_stored_block(&mut self, id: &JobId, block: u32, stored: Option<StoredBlock>) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let Some(tasks_per_part) = job.tasks_per_part.get_mut(block as usize) else {
+            return;
+        };
+        let (split_into, tasks) = match stored {
+            None => (0, None),
+            Some(StoredBlock::Plain(tasks) | StoredBlock::Packed(tasks)) => {
+                (0, (!tasks.0.is_empty()).then_some(tasks))
+            }
+            Some(StoredBlock::Split(split_into)) => {
+                let mut tasks = job.blocks[block as usize].clone();
+                for (key, part) in self.block_parts.get(id).into_iter().flatten() {
+                    if (key.block, key.tasks_per_part) == (block, split_into) {
+                        key.overlay(&mut tasks, part);
+                    }
+                }
+                (split_into, Some(tasks))
+            }
+        };
+        *tasks_per_part = split_into;
+        self.put_block(id, block, tasks);
+    }
+
+    /// Sets a job's block, `None` for a fresh one, and follows the tasks whose states differ. The cost is one
+    /// comparison a task of the block, and the updates of the tasks that differ.
+    pub(super) fn put_block(&mut self, id: &JobId, block: u32, tasks: Option<TaskBlock>) {
+        let Some(job) = self.jobs.get_mut(id) else {
+            return;
+        };
+        let task_count = job.spec.task_count;
+        let Some(place) = job.blocks.get_mut(block as usize) else {
+            return;
+        };
+        let old = std::mem::replace(place, tasks.unwrap_or_else(|| fresh(task_count, block)));
+        let placed_before = job.placed;
+        let mut locations = TaskLocations {
+            tasks_by_machine: &mut self.tasks_by_machine,
+            usage_by_machine: &mut self.usage_by_machine,
+            images: &mut self.images,
+        };
+        let machines = follow_block_change(id, job, block, &old, &mut locations);
+        self.index_block_change(id, placed_before, machines);
+    }
+}
+
+/// Brings a job's counters and the locations of its tasks in step with a block that was just replaced.
+/// Returns the machines that tasks left or came to, in any order and with repetitions.
+fn follow_block_change(
+    id: &JobId,
+    job: &mut Job,
+    block: u32,
+    old: &TaskBlock,
+    locations: &mut TaskLocations<'_>,
+) -> Vec<MachineId> {
+    let new = &job.blocks[block as usize];
+    let mut machines: Vec<MachineId> = Vec::new();
+    for position in 0..old.0.len().max(new.0.len()) {
+        let (was, is) = (old.0.get(position), new.0.get(position));
+        if was == is {
+            continue;
+        }
+        let index = block * BLOCK + position as u32;
+        match was {
+            Some(TaskState::Waiting(_)) => job.waiting -= 1,
+            Some(TaskState::Done) => job.done -= 1,
+            Some(TaskState::Placed(placement)) => {
+                job.placed -= 1;
+                machines.push(placement.machine.clone());
+                locations.remove(id, index, placement, &job.spec);
+            }
+            None => {}
+        }
+        match is {
+            Some(TaskState::Waiting(_)) => job.waiting += 1,
+            Some(TaskState::Done) => job.done += 1,
+            Some(TaskState::Placed(placement)) => {
+                job.placed += 1;
+                machines.push(placement.machine.clone());
+                locations.add(id, index, placement, &job.spec);
+            }
+            None => {}
+        }
+    }
+    machines
+}
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,6 +1,8 @@
-//! The state service as this program sees it: client, names of keys, view.
+//! The state service as this controller uses it: its client, the names of its keys, and the copy of its
+//! contents that watches keep current.
 
 pub mod client;
 pub mod cluster_state;
 pub mod keys;
+mod token_bucket;
 pub mod watch_cache;
--- /dev/null
+++ b/src/store/watch_cache/initial_load.rs
@@ -0,0 +1,50 @@
+//! The initial load: lists of all prefixes, made consistent with the log.
+
+use super::{ReadTimes, WatchCache};
+use crate::store::client::RevisionRange;
+use crate::store::keys;
+use crate::wire::WireError;
+use foldhash::{HashSet, HashSetExt};
+
+impl WatchCache {
+    /// Reads the whole state. Keys that are in the state and no longer exist go.
+    pub(super) async fn load(&self) -> Result<(), WireError> {
+        let mut revisions = RevisionRange::EMPTY;
+        for prefix in keys::LOADED {
+            revisions = revisions.union(self.load_prefix(prefix).await?);
+        }
+        self.state.borrow_mut().revision = revisions.smallest;
+        // The lists were read one after the other: the state is consistent only with the log up to the
+        // revision of the last.
+        loop {
+            let after = self.state.borrow().revision;
+            let begun = self.clock.now();
+            let log = self.client.watch(keys::ALL, after, 0).await?;
+            let times = ReadTimes {
+                begun,
+                current_at: begun,
+            };
+            self.apply_log(&log, &times);
+            if self.state.borrow().revision >= revisions.largest {
+                break;
+            }
+        }
+        self.loaded.set(true);
+        tracing::info!(revision = revisions.largest, "cluster state loaded");
+        self.notifier.notify();
+        Ok(())
+    }
+
+    async fn load_prefix(&self, prefix: &str) -> Result<RevisionRange, WireError> {
+        let mut items = Vec::new();
+        let revisions = self.client.list(prefix, |item| items.push(item)).await?;
+        let mut listed = HashSet::new();
+        let mut state = self.state.borrow_mut();
+        for item in items {
+            listed.insert(item.key.clone());
+            state.put(&item.key, &item.value, item.version);
+        }
+        state.retain_prefix(prefix, &listed, revisions.smallest);
+        Ok(revisions)
+    }
+}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -210,7 +210,7 @@
 /// What the view keeps for look-ups equals what going through all jobs and machines gives. A plan that
 /// misses a machine or a job would leave it out without a word.
 pub fn indexed(v: &ClusterState) {
-    assert_eq!(*v.index(), index_afresh(v));
+    assert_eq!(*v.indexes(), index_afresh(v));
     for (machine, tasks) in &v.tasks_by_machine {
         let mut load = MachineUsage::default();
         for (job, _) in tasks.keys() {
--- a/tests/completion_races.rs
+++ b/tests/completion_races.rs
@@ -167,7 +167,7 @@
 
     /// Asks the state service how a job ended, and all that it needs.
     fn read_final(&mut self, n: usize, id: &str) {
-        let mut ids: Vec<JobId> = self.nodes[n].view.unknown_above(id);
+        let mut ids: Vec<JobId> = self.nodes[n].view.unknown_ancestors(id);
         ids.push(id.into());
         for id in ids {
             if let Some((v, stamp)) = self.store.keys.get(&keys::finished_job(&id)) {
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -281,15 +281,15 @@
         keys::TYPES.into(),
         keys::job("req-000412"),
         keys::block("req-000412", 3),
-        keys::slots("req-000412", 3, 64, 2),
-        keys::needs("req-000412", 1),
+        keys::block_part("req-000412", 3, 64, 2),
+        keys::dependency_list("req-000412", 1),
         keys::machine_type("g8"),
         keys::machine_type("a type\twith spaces and more than forty characters"),
         keys::version("node-a"),
         keys::finished_job("req-000412"),
         keys::machine("m-000017"),
         keys::scale_out_request("c-node-a-1"),
-        keys::leaving("l-node-a-1"),
+        keys::termination_batch("l-node-a-1"),
         keys::counts("node-a"),
         keys::member("node-a"),
         keys::shard(11),
@@ -495,8 +495,8 @@
     // Keys of a job that is not known are named again from what was read of them.
     let shards = [
         (keys::block(id, 3), "block_plain.full"),
-        (keys::slots(id, 3, 64, 2), "block.full"),
-        (keys::needs(id, 1), "needs.full"),
+        (keys::block_part(id, 3, 64, 2), "block.full"),
+        (keys::dependency_list(id, 1), "needs.full"),
     ];
     for (key, value) in shards.clone() {
         put(key, value);
@@ -508,7 +508,7 @@
     put(keys::LAYOUT.into(), "version.full");
     put(keys::machine("m-000099"), "host.full");
     put(keys::scale_out_request("c-node-a-1"), "charter.full");
-    put(keys::leaving("l-node-a-1"), "leaving.least");
+    put(keys::termination_batch("l-node-a-1"), "leaving.least");
     put(keys::counts("node-a"), "counts.full");
     put(keys::PRIORITY_BOOSTS.into(), "raises.full");
     put(keys::SERVICE_LEVELS.into(), "served.full");
--- a/tests/large_clusters.rs
+++ b/tests/large_clusters.rs
@@ -406,7 +406,7 @@
     let mut w = World::new(&[(false, false), (false, false)]);
     let names: Vec<MachineId> = w.view.machines.keys().cloned().collect();
     let up = w.view.machines[&names[0]].clone();
-    let key = keys::leaving("a");
+    let key = keys::termination_batch("a");
     let leaving = |names: &[MachineId], gone| {
         to_value(&TerminationBatch {
             machines: names.to_vec(),
@@ -532,6 +532,6 @@
         terminated: true,
         declared_dead: true,
     };
-    w.put(keys::leaving("n-1-lost-2"), to_value(&gone));
+    w.put(keys::termination_batch("n-1-lost-2"), to_value(&gone));
     assert_eq!(w.view.machines.len(), 10);
 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -334,7 +334,7 @@
     fn read_final(&mut self, n: usize, id: &str) -> bool {
         let f = self.store.finished_job(id);
         if let Some(f) = f {
-            self.nodes[n].view.remember(&id.into(), f);
+            self.nodes[n].view.remember_finished_job(&id.into(), f);
         }
         f.is_some()
     }
@@ -390,7 +390,7 @@
                 self.read_final(n, id);
             }
             self.sync(n);
-            for x in self.nodes[n].view.unknown_above(id) {
+            for x in self.nodes[n].view.unknown_ancestors(id) {
                 assert!(self.read_final(n, &x), "neither unfinished nor over: {x}");
             }
             a = answer(&self.nodes[n].view, id).map(|a| a.status);
@@ -697,7 +697,7 @@
     }
     // An earlier try was cut off after its first key, with other jobs in it.
     w.put(
-        keys::needs("req-000700", 0),
+        keys::dependency_list("req-000700", 0),
         &JobIdList(vec!["req-000003".into()]),
     );
     w.sync(0);
@@ -835,8 +835,8 @@
         done: 1,
         finished_at: 5,
     };
-    v.remember(&"req-3".into(), finished_job(false));
-    v.remember(&"req-4".into(), finished_job(true));
+    v.remember_finished_job(&"req-3".into(), finished_job(false));
+    v.remember_finished_job(&"req-4".into(), finished_job(true));
     let ask = |l: &[&str]| {
         let l: Vec<String> = l.iter().map(|s| s.to_string()).collect();
         check_dependencies(&v, "req-9", &l)
@@ -889,7 +889,7 @@
             .is_some_and(|d| d < due - 2 * last.estimated_run_time)
     );
     assert!(v.jobs["req-4"].ready && !v.jobs["req-3"].ready);
-    v.remember(
+    v.remember_finished_job(
         &"req-4".into(),
         FinishedJob {
             cancelled: false,
--- a/tests/teams.rs
+++ b/tests/teams.rs
@@ -169,7 +169,7 @@
 }
 
 fn used(v: &ClusterState, team: &str) -> i64 {
-    v.index().teams.get(team).map_or(0, |r| r.cpus)
+    v.indexes().teams.get(team).map_or(0, |r| r.cpus)
 }
 
 proptest! {
@@ -533,12 +533,12 @@
     );
     let mut v = f.view();
     v.retain_prefix("c/job/", &HashSet::new(), v.revision + 20);
-    let ends: Vec<u64> = v.ends().map(|e| e.revision).collect();
+    let ends: Vec<u64> = v.recent_job_ends().map(|e| e.revision).collect();
     assert_eq!(ends, vec![v.revision + 1]);
     let other = ServiceLevels {
         revision: v.revision + 8,
         ..ServiceLevels::default()
     };
-    let next = other.with(v.ends().cloned(), v.revision + 20, 1000);
+    let next = other.with(v.recent_job_ends().cloned(), v.revision + 20, 1000);
     assert!(next.ended.is_empty());
 }
