--- a/benches/growth.rs
+++ b/benches/growth.rs
@@ -18,7 +18,7 @@
 use coppergw::wire::user::{JobKind, Priority};
 use coppergw::wire::worker::{Heartbeat, ReportedTask, TaskStatus};
 use coppergw::wire::{decode, encode, to_value};
-use coppergw::workers::{WorkerState, commands, reconcile};
+use coppergw::workers::{CommandChannel, HeartbeatSource, WorkerState, commands, reconcile};
 use divan::Bencher;
 use foldhash::HashMap;
 
@@ -265,7 +265,7 @@
     let mut machines: Vec<(MachineId, WorkerState)> = (0..n)
         .map(|k| {
             let mut m = WorkerState::new(5, 0);
-            m.take(&report(&v, k), false, 1);
+            m.apply_heartbeat(&report(&v, k), HeartbeatSource::Periodic, 1);
             (host_name(k).into(), m)
         })
         .collect();
@@ -274,7 +274,7 @@
         let mut count = 0;
         for (id, m) in &mut machines {
             reconcile(&v, id, m, 20 * SECOND, 2, &mut out);
-            count += commands(&v, id, m, false).len();
+            count += commands(&v, id, m, CommandChannel::Direct).len();
         }
         count + out.len()
     });
@@ -293,9 +293,9 @@
         r.sequence = tick;
         let body = encode(&r);
         if let Ok(r) = decode::<Heartbeat>(&body) {
-            m.take(&r, false, tick);
+            m.apply_heartbeat(&r, HeartbeatSource::Periodic, tick);
         }
-        commands(&v, &id, &mut m, true).len()
+        commands(&v, &id, &mut m, CommandChannel::HeartbeatAnswer).len()
     });
 }
 
--- a/src/fairness/rounds.rs
+++ b/src/fairness/rounds.rs
@@ -9,7 +9,7 @@
 use crate::wire::state::{Mutation, Transaction};
 use crate::wire::user::JobKind;
 use crate::wire::{json_size, to_value};
-use crate::workers::longest;
+use crate::workers::longest_active_tasks;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -86,7 +86,7 @@
         let now = self.clock.now();
         let view = self.watch_cache.view();
         let machines = self.workers.machines();
-        let longest = longest(machines.values(), &view, now);
+        let longest = longest_active_tasks(machines.values(), &view, now);
         let durations = self.workers.durations();
         let mut out = Counts::default();
         for (id, j) in &view.jobs {
--- a/src/jobs/api.rs
+++ b/src/jobs/api.rs
@@ -389,7 +389,7 @@
         }
         let failed: HashSet<JobId> = v
             .waiting()
-            .filter(|(id, _)| self.workers.backs_off(id, now))
+            .filter(|(id, _)| self.workers.in_backoff(id, now))
             .map(|(id, _)| id.clone())
             .collect();
         move |id, j| {
--- a/src/membership/keep.rs
+++ b/src/membership/keep.rs
@@ -306,14 +306,14 @@
             return;
         }
         let v = self.watch_cache.view();
-        if !self.alone(&v, now) || v.members.len() < 2 {
+        if !self.is_isolated(&v, now) || v.members.len() < 2 {
             return;
         }
         let told = now.saturating_sub(self.membership.bounced.get()) < NO_HEARTBEATS;
         let outbound_partition = {
             let m = self.workers.machines();
             m.values()
-                .map(|m| m.heard)
+                .map(|m| m.heartbeat.last_contact_at)
                 .max()
                 .is_some_and(|h| now.saturating_sub(h) > NO_HEARTBEATS)
         };
@@ -362,7 +362,7 @@
     }
 
     async fn hello(&self, s: crate::settings::Peer) {
-        let bounced = self.workers.bounced(&s.name, self.clock.now());
+        let bounced = self.workers.redirected_back(&s.name, self.clock.now());
         let h = PeerHeartbeat {
             node: self.me().to_string(),
             state_service_reachable: self.watch_cache.current(),
@@ -412,7 +412,8 @@
             .iter()
             .filter(|(id, m)| {
                 m.fenced()
-                    && now.saturating_sub(m.heard) < self.settings.heartbeat_interval * 2
+                    && now.saturating_sub(m.heartbeat.last_contact_at)
+                        < self.settings.heartbeat_interval * 2
                     && view
                         .machines
                         .get(*id)
@@ -497,7 +498,8 @@
             let m = self.workers.machines();
             h.redirected_back.iter().any(|b| {
                 m.get(b.as_str()).is_some_and(|m| {
-                    now.saturating_sub(m.heard) > self.settings.heartbeat_interval * 3 / 2
+                    now.saturating_sub(m.heartbeat.last_contact_at)
+                        > self.settings.heartbeat_interval * 3 / 2
                 })
             })
         };
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -153,7 +153,7 @@
         if full || now.saturating_sub(self.reconciler.machines_checked_at.get()) >= SILENT {
             self.reconciler.machines_checked_at.set(now);
             self.write_machine_records(now);
-            self.overdue(now, &mut changed);
+            self.add_overdue_machines(now, &mut changed);
         }
         for s in staged {
             self.reconciler
@@ -173,7 +173,7 @@
                 })
                 .detach();
         }
-        self.drive(now, (!full).then_some(&changed));
+        self.dispatch_commands(now, (!full).then_some(&changed));
         if full {
             let took = self.clock.now().saturating_sub(now);
             self.reconciler.swept.set(now);
@@ -251,7 +251,7 @@
             }
             match machines.get(id) {
                 Some(m) => {
-                    let session = workers::opens(
+                    let session = workers::schedulable_session(
                         m,
                         h.session,
                         many(m),
@@ -276,7 +276,7 @@
             }
         };
         let in_backoff = |j: &str| {
-            if self.workers.backs_off(j, now) {
+            if self.workers.in_backoff(j, now) {
                 return true;
             }
             let Some(job) = view.jobs.get(j) else {
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -24,7 +24,9 @@
 use coppergw::wire::to_value;
 use coppergw::wire::user::{JobKind, Priority};
 use coppergw::wire::worker::{Command, ExitReason, Heartbeat, ReportedTask, TaskStatus};
-use coppergw::workers::{WorkerState, commands, may_answer, reconcile};
+use coppergw::workers::{
+    CommandChannel, HeartbeatSource, WorkerState, commands, may_answer, reconcile,
+};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -303,12 +305,11 @@
                 return None;
             }
             match node.machines.get(id) {
-                Some(m) => {
-                    (m.fenced() && self.now - m.heard < 6 * SECOND).then_some(SchedulableMachine {
+                Some(m) => (m.fenced() && self.now - m.heartbeat.last_contact_at < 6 * SECOND)
+                    .then_some(SchedulableMachine {
                         session: m.session,
                         owned: true,
-                    })
-                }
+                    }),
                 None => Some(SchedulableMachine {
                     session: h.session,
                     owned: false,
@@ -437,11 +438,11 @@
         if m.term != term {
             *m = WorkerState::new(term, now);
         }
-        let newer = (r.session, r.sequence) > (m.session, m.tick);
-        m.take(r, false, now);
-        m.answered = Some(now);
+        let newer = (r.session, r.sequence) > (m.session, m.heartbeat.sequence);
+        m.apply_heartbeat(r, HeartbeatSource::Periodic, now);
+        m.heartbeat.last_answered_at = Some(now);
         let list = if newer {
-            commands(&node.view, &id, m, true)
+            commands(&node.view, &id, m, CommandChannel::HeartbeatAnswer)
         } else {
             Vec::new()
         };
@@ -620,11 +621,11 @@
         };
         let session = if m.session > 0 { m.session } else { 1 };
         let list = if m.fenced() {
-            commands(&node.view, &id, m, false)
+            commands(&node.view, &id, m, CommandChannel::Direct)
         } else {
             Vec::new()
         };
-        m.sent(&list);
+        m.record_direct_starts(&list);
         let term = m.term;
         none_cancelled(&self.nodes[n].view, &list);
         if self.workers[w].outbound_partition {
@@ -641,8 +642,8 @@
         let r = self.report(w);
         let now = self.now;
         if let Some(m) = self.nodes[n].machines.get_mut(&id) {
-            m.answered_direct(&list);
-            m.take(&r, true, now);
+            m.acknowledge_direct(&list);
+            m.apply_heartbeat(&r, HeartbeatSource::CommandReply, now);
         }
     }
 
--- a/tests/partitioned_machines.rs
+++ b/tests/partitioned_machines.rs
@@ -8,8 +8,8 @@
 use coppergw::time::{Micros, SECOND};
 use coppergw::wire::worker::Heartbeat;
 use coppergw::workers::{
-    InboundPartition, WorkerState, inbound_partition, many_inbound_partitions, opens,
-    reported_state,
+    HeartbeatSource, InboundPartition, WorkerState, inbound_partition, many_inbound_partitions,
+    reported_state, schedulable_session,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -53,12 +53,12 @@
     }
 
     fn report(&mut self, m: &mut WorkerState, now: Micros) {
-        m.take(&self.says(), false, now);
+        m.apply_heartbeat(&self.says(), HeartbeatSource::Periodic, now);
     }
 
     fn call(&mut self, m: &mut WorkerState, now: Micros) {
-        m.take(&self.says(), true, now);
-        m.answered_call(REPORT, now);
+        m.apply_heartbeat(&self.says(), HeartbeatSource::CommandReply, now);
+        m.record_answered_probe(REPORT, now);
     }
 }
 
@@ -85,8 +85,8 @@
         }
         s = state(&m, s, now);
         assert_eq!(
-            opens(&m, 1, false, (REPORT, now)).is_none(),
-            m.inbound_partition() || now >= m.heard + 2 * REPORT
+            schedulable_session(&m, 1, false, (REPORT, now)).is_none(),
+            m.inbound_partition() || now >= m.heartbeat.last_contact_at + 2 * REPORT
         );
         if s == MachineState::Draining {
             drained.get_or_insert(now);
@@ -108,7 +108,10 @@
         state(&m, MachineState::Draining, 200 * SECOND),
         MachineState::Up
     );
-    assert_eq!(opens(&m, 1, false, (REPORT, 200 * SECOND)), Some(w.session));
+    assert_eq!(
+        schedulable_session(&m, 1, false, (REPORT, 200 * SECOND)),
+        Some(w.session)
+    );
     // What the cloud is about to take stays as it is, and so does what fails its tasks.
     w.notice = Some(9.0);
     w.report(&mut m, 201 * SECOND);
@@ -216,7 +219,7 @@
         for m in machines.values() {
             let got = inbound_partition(m, many, LEASE, now);
             prop_assert_eq!(got, if m.inbound_partition() && !many { InboundPartition::Replace } else { InboundPartition::None });
-            prop_assert_eq!(opens(m, 1, many, (REPORT, now)).is_some(), many || !m.inbound_partition());
+            prop_assert_eq!(schedulable_session(m, 1, many, (REPORT, now)).is_some(), many || !m.inbound_partition());
         }
     }
 }
