--- a/src/workers/task_durations.rs
+++ b/src/workers/task_durations.rs
@@ -2,7 +2,7 @@
 
 use super::worker_state::WorkerState;
 use crate::jobs::model::JobId;
-use crate::store::cluster_state::ClusterState;
+use crate::store::cluster_state::{ClusterState, Job};
 use crate::time::Micros;
 use crate::wire::user::JobKind;
 use crate::wire::worker::TaskStatus;
@@ -41,7 +41,7 @@
     let mut longest: HashMap<JobId, [Micros; 2]> = HashMap::new();
     for worker in machines {
         for ((job, _), observed) in &worker.tasks {
-            let is_service = |j: &crate::store::cluster_state::Job| j.spec.kind == JobKind::Service;
+            let is_service = |job: &Job| job.spec.kind == JobKind::Service;
             if view.jobs.get(job).is_none_or(is_service) {
                 continue;
             }
