--- a/src/autoscaler/reconciler.rs
+++ b/src/autoscaler/reconciler.rs
@@ -118,7 +118,7 @@
             if !self.watch_cache.loaded() || !self.watch_cache.current() {
                 continue;
             }
-            if !self.leads().await {
+            if !self.acquire_leadership().await {
                 mem = Memory::from(self.clock.now());
                 continue;
             }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -237,7 +237,7 @@
     /// wrote is in the view.
     pub fn term(&self, view: &ClusterState, shard: u32) -> Option<u64> {
         let p = view.shards.get(&shard)?;
-        let ours = p.owner == self.me() && self.membership.drives(p.lease);
+        let ours = p.owner == self.me() && self.membership.is_own_lease(p.lease);
         (ours && self.watch_cache.loaded() && view.revision >= view.version(&keys::shard(shard)))
             .then_some(p.term)
     }
--- a/src/jobs/api.rs
+++ b/src/jobs/api.rs
@@ -89,7 +89,7 @@
             .settings
             .peers
             .iter()
-            .find(|s| self.membership.serves(&s.name, now))
+            .find(|s| self.membership.peer_reaches_state_service(&s.name, now))
             .map(|s| s.address);
         let Some(addr) = to else { return reply };
         let a = self
@@ -141,7 +141,7 @@
         // Of a job that is over nothing is on any machine, whoever hears of it late.
         let confirms = a.as_ref().is_some_and(|a| a.status == Status::Cancelled)
             && self.watch_cache.view().jobs.contains_key(id);
-        if confirms && self.membership.bound(self.clock.now()) {
+        if confirms && self.membership.confirmations_held(self.clock.now()) {
             return Err(());
         }
         Ok(a)
@@ -360,7 +360,9 @@
                 Ok(Some(a)) if matches!(a.status, Status::Done | Status::Cancelled) => {
                     return Response::with(200, &a);
                 }
-                Ok(Some(_)) if self.membership.bound(self.clock.now()) => return later(),
+                Ok(Some(_)) if self.membership.confirmations_held(self.clock.now()) => {
+                    return later();
+                }
                 Ok(Some(_)) => {}
                 Ok(None) => return Response::status(404),
                 Err(()) => return later(),
--- /dev/null
+++ b/src/membership/leader_election.rs
@@ -0,0 +1,97 @@
+//! Leader election: a compare-and-swap on the leader key, which is bound to the leader's lease. The decision is a
+//! pure function of the cluster state; owns no state in memory, and only this file writes the leader key.
+
+use super::lease_renewal::Incarnation;
+use super::records::{Leader, Member, non_flapping};
+use crate::controller::Controller;
+use crate::store::client::TransactionOutcome;
+use crate::store::cluster_state::ClusterState;
+use crate::store::keys;
+use crate::time::{Micros, wall};
+use crate::wire::state::{Mutation, Transaction};
+use crate::wire::to_value;
+use std::collections::BTreeMap;
+
+/// Who leads, as one incarnation sees it.
+#[derive(Debug)]
+pub enum LeaderStatus {
+    /// This incarnation leads.
+    Leading,
+    /// Another one leads, or should.
+    Following,
+    /// Nobody leads: this incarnation should try to with the given write.
+    Vacant(Transaction),
+}
+
+/// Whether an incarnation leads or should. The leader is an incarnation, not a name: the key of one that ended
+/// stands until its lease expires, while the next one of the same name is alive. Flapping members are
+/// considered last, since each of their incarnations is too short to rent anything.
+pub fn leader_status(
+    view: &ClusterState,
+    live_members: &BTreeMap<String, Member>,
+    incarnation: Incarnation<'_>,
+    now: Micros,
+) -> LeaderStatus {
+    let is_live = |node: &str, lease| {
+        live_members
+            .get(node)
+            .is_some_and(|member| member.lease == lease)
+    };
+    if !is_live(incarnation.node, incarnation.lease) {
+        return LeaderStatus::Following;
+    }
+    match &view.leader {
+        Some(leader) if leader.node == incarnation.node && leader.lease == incarnation.lease => {
+            return LeaderStatus::Leading;
+        }
+        Some(leader) if is_live(&leader.node, leader.lease) => return LeaderStatus::Following,
+        _ => {}
+    }
+    if !non_flapping(live_members.iter(), now)
+        .iter()
+        .any(|name| *name == incarnation.node)
+    {
+        return LeaderStatus::Following;
+    }
+    let leader = Leader {
+        node: incarnation.node.to_string(),
+        lease: incarnation.lease,
+    };
+    LeaderStatus::Vacant(Transaction {
+        preconditions: vec![view.precondition(keys::LEADER)],
+        mutations: vec![Mutation::Put {
+            key: keys::LEADER.into(),
+            value: to_value(&leader),
+            lease: Some(incarnation.lease),
+        }],
+    })
+}
+
+impl Controller {
+    /// Whether this controller leads; tries to become the leader if there is none. After a successful write it
+    /// leads only once a read has brought in all that the leader before it wrote.
+    pub async fn acquire_leadership(&self) -> bool {
+        let claim = {
+            let Some(incarnation) = self.incarnation() else {
+                return false;
+            };
+            let view = self.watch_cache.view();
+            let live_members = self.membership.peers.live_members(&view.members);
+            match leader_status(&view, &live_members, incarnation, wall()) {
+                LeaderStatus::Leading => return true,
+                LeaderStatus::Following => return false,
+                LeaderStatus::Vacant(claim) => claim,
+            }
+        };
+        match self.watch_cache.transaction(&claim).await {
+            TransactionOutcome::Done(_) => {
+                tracing::info!("became leader");
+                self.watch_cache.linearizable_read().await
+            }
+            _ => {
+                self.watch_cache.linearizable_read().await;
+                false
+            }
+        }
+    }
+}
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,245 +1,110 @@
-//! Membership, leadership and ownership of parts.
+//! Cluster membership of one controller: its lease and member key, leader election, ownership of shards,
+//! heartbeats between controllers, the cancellation watermark and the agreement on the storage layout.
+//!
+//! [`Membership`] is the state of this slice in memory. Only the loops and handlers in the files below change it;
+//! other slices read it through the methods here. What all controllers share (member keys, leader, shards,
+//! layout) is kept in the state service and read from [`crate::store::cluster_state::ClusterState`].
+//!
+//! Each file has one concern:
+//! - `records`: values that are stored under the keys of this slice;
+//! - `lease_renewal`: the lease of this process and its member key;
+//! - `leader_election`: who leads;
+//! - `shard_assignment`: which controller should own which shard (pure);
+//! - `shard_ownership`: taking shards and raising their terms;
+//! - `worker_reachability`: giving shards up when workers cannot reach this controller;
+//! - `peers`: what is known of each other controller;
+//! - `peer_heartbeats`: the exchange between controllers;
+//! - `cancellation_watermark`: up to when every confirmed cancellation is known here;
+//! - `layout_agreement`: when the newer storage layout may be used.
 
 pub mod cancellation_watermark;
-pub mod claim;
-mod keep;
-
-pub use keep::{Membership, READY_MOST};
-
-use crate::time::{Micros, SECOND};
-use fnv::FnvHasher;
-use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
-use std::hash::Hasher;
-
-/// Number of parts. Fixed: a machine's part, and with it its token, must never change.
-pub const SHARD_COUNT: u32 = 12;
-
-/// The layout that a controller reads and writes.
-#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Version {
-    /// Number.
-    #[serde(rename = "v")]
-    pub version: u32,
-}
-
-/// The layout of this version of the program: packed and split blocks, pipelines.
-pub const VERSION: u32 = 2;
-
-/// A controller that is alive; its key hangs on its lease.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Member {
-    /// Its lease: tells incarnations of one name apart.
-    #[serde(rename = "l")]
-    pub lease: u64,
-    /// Time of day since when.
-    #[serde(rename = "s")]
-    pub since: u64,
-    /// Its workers cannot reach it: it wants no parts.
-    #[serde(rename = "h", default)]
-    pub unreachable_by_workers: bool,
-    /// The layout that it reads and writes; versions before the second say nothing.
-    #[serde(rename = "v", default)]
-    pub version: u32,
-    /// Lives of this name that ended one soon after the other, up to the one before this.
-    #[serde(rename = "e", default, skip_serializing_if = "never")]
-    pub ends: u32,
+mod layout_agreement;
+mod leader_election;
+mod lease_renewal;
+mod peer_heartbeats;
+mod peers;
+mod records;
+mod shard_assignment;
+mod shard_ownership;
+mod worker_reachability;
+
+pub use layout_agreement::{LAYOUT_VERSION, all_support_layout};
+pub use leader_election::{LeaderStatus, leader_status};
+pub use lease_renewal::{Incarnation, claim_member_key};
+pub use peer_heartbeats::MAX_READY_MACHINES;
+pub use records::{Leader, Member, Shard, Version};
+pub use shard_assignment::{SHARD_COUNT, ShardOwners, assign_shards, hash, shard_of};
+pub use shard_ownership::{ShardClaim, claim_shards};
+
+use crate::ids::MachineId;
+use crate::time::Micros;
+use cancellation_watermark::CancellationWatermarks;
+use foldhash::HashSet;
+use lease_renewal::LeaseState;
+use peers::PeerTable;
+use std::cell::{Cell, RefCell};
+use worker_reachability::WorkerReachability;
+
+/// This controller's own membership, and what its peers told it. Times are those of this process's steady
+/// clock.
+#[derive(Default)]
+pub struct Membership {
+    /// The current lease and all earlier ones of this process.
+    lease: LeaseState,
+    /// Own shards whose term must be raised once more.
+    pending_term_raises: RefCell<HashSet<u32>>,
+    /// Whether this controller's workers cannot reach it.
+    worker_reachability: WorkerReachability,
+    /// State of each peer by its last messages.
+    peers: PeerTable,
+    /// Up to when each peer told us of every cancellation that it may have confirmed.
+    watermarks: RefCell<CancellationWatermarks>,
+    /// Until then this controller confirms no cancellation, as it promised its peers.
+    confirmations_held_until: Cell<Micros>,
 }
 
-fn never(ends: &u32) -> bool {
-    *ends == 0
-}
-
-/// A member is given others' parts only once it has been there this long.
-const SETTLED: Micros = 5 * SECOND;
-/// A life that lasted so long ended for reasons of its own: counting starts again.
-const STEADY: Micros = 60 * SECOND;
-/// With the second end the time to settle doubles. Longer would leave one controller with all machines for
-/// as long after the last end.
-const DOUBLED: u32 = 1;
-
-impl Member {
-    /// What a new life under `lease` says of itself, from what the life before left in its key, if that
-    /// is still there. A process that is back within the lease of its past meets that key, and takes
-    /// it over; one that ends again and again is told apart by the count.
-    pub fn begin(before: Option<&Member>, lease: u64, version: u32, now: Micros) -> Member {
-        let ends = match before.filter(|m| m.lease != lease) {
-            Some(m) if now.saturating_sub(m.since) < STEADY => m.ends.saturating_add(1),
-            Some(_) => 1,
-            None => 0,
-        };
-        Member {
-            lease,
-            since: now,
-            unreachable_by_workers: false,
-            version,
-            ends,
-        }
+impl Membership {
+    /// The current lease, while it runs as far as we know.
+    pub fn lease(&self) -> Option<u64> {
+        self.lease.current()
     }
 
-    /// Whether it has been there for long enough to be given what others own.
-    fn settled(&self, now: Micros) -> bool {
-        let doubled = self.ends.saturating_sub(1).min(DOUBLED);
-        now.saturating_sub(self.since) >= SETTLED << doubled
+    /// Whether this process was granted the lease at any time. Shards taken under it are driven by this process
+    /// until somebody raises their terms, also after the lease expired.
+    pub fn is_own_lease(&self, lease: u64) -> bool {
+        self.lease.is_own(lease)
     }
 
-    /// Whether it ended more than once lately and may do so again: parts that it takes now stand still
-    /// until it does, and each time their machines must be fenced anew. With one that ended each
-    /// second no report of its machines was answered for longer than their lease.
-    fn doubtful(&self, now: Micros) -> bool {
-        self.ends >= 2 && !self.settled(now)
+    /// Replaces the set of own shards whose term must be raised once more: an unacknowledged start may still
+    /// reach their machines under the present term.
+    pub fn raise_terms(&self, shards: impl Iterator<Item = u32>) {
+        let mut pending = self.pending_term_raises.borrow_mut();
+        pending.clear();
+        pending.extend(shards);
     }
-}
 
-/// Those among members who are not doubtful; all of them if there is nobody else.
-fn steady<'a>(
-    members: impl Iterator<Item = (&'a String, &'a Member)>,
-    now: Micros,
-) -> Vec<&'a String> {
-    let all: Vec<(&String, &Member)> = members.collect();
-    let sure = all.iter().filter(|(_, m)| !m.doubtful(now));
-    let list: Vec<&String> = sure.map(|(n, _)| *n).collect();
-    if list.is_empty() {
-        return all.into_iter().map(|(n, _)| n).collect();
+    /// Whether a peer said within the last two seconds that it reaches the state service.
+    pub fn peer_reaches_state_service(&self, name: &str, now: Micros) -> bool {
+        self.peers.reaches_state_service(name, now)
     }
-    list
-}
-
-/// The leader; its key hangs on its lease.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Leader {
-    /// Node.
-    #[serde(rename = "n")]
-    pub node: String,
-    /// Its lease.
-    #[serde(rename = "l")]
-    pub lease: u64,
-}
-
-/// A part: who drives its machines, and with which token.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Shard {
-    /// Owner.
-    #[serde(rename = "n")]
-    pub owner: String,
-    /// The owner's lease when it took the part.
-    #[serde(rename = "l")]
-    pub lease: u64,
-    /// Term; also the token of the part's machines.
-    #[serde(rename = "t")]
-    pub term: u64,
-}
-
-/// A hash that stays the same between versions and machines.
-pub fn hash(text: &str) -> u64 {
-    let mut h = FnvHasher::default();
-    h.write(text.as_bytes());
-    // FNV spreads its low bits badly over few values; finish with a multiplicative mix.
-    let x = h.finish();
-    (x ^ (x >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 16
-}
-
-/// Whether every controller that the settings name has written durably that it knows the layout, and
-/// none that is alive says otherwise. A list of those alive would not do: a process that died before
-/// its turn comes back with the old version.
-pub fn all_know<'a>(
-    names: impl Iterator<Item = &'a str>,
-    versions: &BTreeMap<String, Version>,
-    members: &BTreeMap<String, Member>,
-) -> bool {
-    let mut names = names;
-    names.all(|n| versions.get(n).is_some_and(|v| v.version >= VERSION))
-        && members.values().all(|m| m.version >= VERSION)
-}
 
-/// The part that a machine belongs to.
-pub fn shard_of(machine: &str) -> u32 {
-    (hash(machine) % u64::from(SHARD_COUNT)) as u32
-}
-
-/// Who should own each part at this time of day: sticky, then the member with the fewest among those
-/// who do not end again and again, ties by rendezvous hash.
-pub fn assign(
-    shards: &BTreeMap<u32, Shard>,
-    members: &BTreeMap<String, Member>,
-    now: Micros,
-) -> BTreeMap<u32, String> {
-    let willing: Vec<&String> = members
-        .iter()
-        .filter(|(_, m)| !m.unreachable_by_workers)
-        .map(|(n, _)| n)
-        .collect();
-    let candidates: Vec<&String> = if willing.is_empty() {
-        members.keys().collect()
-    } else {
-        willing
-    };
-    let mut out = BTreeMap::new();
-    if candidates.is_empty() {
-        return out;
+    /// Whether this controller promised its peers to confirm no cancellation now.
+    pub fn confirmations_held(&self, now: Micros) -> bool {
+        now < self.confirmations_held_until.get()
     }
-    let mut load: BTreeMap<&String, u32> = candidates.iter().map(|n| (*n, 0)).collect();
-    for (n, p) in shards {
-        let alive = members.get(&p.owner).is_some_and(|m| m.lease == p.lease);
-        if *n < SHARD_COUNT
-            && alive
-            && let Some(l) = load.get_mut(&p.owner)
-        {
-            *l += 1;
-            out.insert(*n, p.owner.clone());
-        }
+
+    /// The session of a peer's machine that runs before its record says so, by the peer's recent heartbeat.
+    pub fn ready_at_peer(&self, id: &MachineId, now: Micros) -> Option<u64> {
+        self.peers.ready_session(id, now)
     }
-    let weight = |shard: u32, node: &str| hash(&format!("{shard}@{node}"));
-    let takers = steady(members.iter().filter(|(n, _)| candidates.contains(n)), now);
-    for n in 0..SHARD_COUNT {
-        if out.contains_key(&n) {
-            continue;
-        }
-        let Some((best, _)) = load
-            .iter()
-            .filter(|(node, _)| takers.contains(node))
-            .min_by_key(|(node, l)| (**l, u64::MAX - weight(n, node)))
-        else {
-            continue;
-        };
-        let best = *best;
-        out.insert(n, best.clone());
-        if let Some(l) = load.get_mut(best) {
-            *l += 1;
-        }
+
+    /// Whether a peer reported at any remembered time that its machine runs.
+    pub fn reported_ready_by_peer(&self, id: &MachineId) -> bool {
+        self.peers.was_reported_ready(id)
     }
-    // Even out only towards members that have been here for a while, and only by whole steps.
-    loop {
-        let to = load
-            .iter()
-            .filter(|(n, _)| members.get(**n).is_some_and(|m| m.settled(now)))
-            .min_by_key(|(_, l)| **l)
-            .map(|(n, l)| (*n, *l));
-        let from = load.iter().max_by_key(|(_, l)| **l).map(|(n, l)| (*n, *l));
-        let (Some((to, lo)), Some((from, hi))) = (to, from) else {
-            break;
-        };
-        if hi < lo + 2 {
-            break;
-        }
-        let Some(n) = out
-            .iter()
-            .filter(|(_, o)| *o == from)
-            .map(|(n, _)| *n)
-            .max_by_key(|n| weight(*n, to))
-        else {
-            break;
-        };
-        out.insert(n, to.clone());
-        if let Some(l) = load.get_mut(from) {
-            *l -= 1;
-        }
-        if let Some(l) = load.get_mut(to) {
-            *l += 1;
-        }
+
+    /// Whether each of the `peer_count` peers lately answered that it does not reach the state service either.
+    pub fn common_outage(&self, peer_count: usize, now: Micros) -> bool {
+        self.peers.common_outage(peer_count, now)
     }
-    out
 }
-
-#[cfg(test)]
-mod tests;
--- a/src/workers/drive.rs
+++ b/src/workers/drive.rs
@@ -9,7 +9,7 @@
 use crate::controller::{Controller, StartupMilestone};
 use crate::ids::MachineId;
 use crate::jobs::model::JobId;
-use crate::membership::{READY_MOST, shard_of};
+use crate::membership::{MAX_READY_MACHINES, shard_of};
 use crate::store::client::TransactionOutcome;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
@@ -455,7 +455,7 @@
                 h.is_some_and(|h| h.state == MachineState::Booting)
             };
             let untold = machines.keys().filter(|id| boots(id)).count();
-            let wait = match view.layout.is_some() && untold <= READY_MOST {
+            let wait = match view.layout.is_some() && untold <= MAX_READY_MACHINES {
                 true => UP_TOLD,
                 false => UP_MAX,
             };
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -181,7 +181,7 @@
 fn a_worker_that_shows_a_newer_token_is_sent_to_nobody_older() {
     use crate::membership::{Member, Shard};
     let mut v = ClusterState::default();
-    let m = Member::begin(None, 7, 2, 0);
+    let m = Member::new_incarnation(None, 7, 2, 0);
     v.put(&keys::member("a"), &to_value(&m), 1);
     let shard = Shard {
         owner: "a".into(),
--- a/tests/incarnations.rs
+++ b/tests/incarnations.rs
@@ -1,11 +1,13 @@
-//! Lives of one controller that follow each other within a fraction of a second: what an earlier one
-//! asked for arrives late, twice, or not at all, while its lease still runs.
+//! Incarnations of one controller that follow each other within a fraction of a second: requests of an earlier one
+//! arrive late, twice, or not at all, while its lease still runs.
 
 mod common;
 
 use common::Store;
-use coppergw::membership::claim::{self, Incarnation, LeaderStatus};
-use coppergw::membership::{Member, SHARD_COUNT, VERSION};
+use coppergw::membership::{
+    Incarnation, LAYOUT_VERSION, LeaderStatus, Member, SHARD_COUNT, Shard, ShardClaim,
+    claim_member_key, claim_shards, leader_status,
+};
 use coppergw::store::cluster_state::ClusterState;
 use coppergw::time::SECOND;
 use coppergw::wire::state::{Mutation, Transaction};
@@ -14,28 +16,32 @@
 use std::collections::BTreeMap;
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
-const OPS: usize = 16;
+/// Mutations that a transaction may have.
+const MAX_MUTATIONS: usize = 16;
 
 /// A running process.
 struct Process {
     lease: Option<u64>,
-    wanted: Option<Member>,
+    desired: Option<Member>,
     view: ClusterState,
-    seen: usize,
+    /// How much of the store's log is in the view.
+    log_position: usize,
 }
 
 struct World {
     now: u64,
     store: Store,
-    /// Leases that run, and the keys that hang on them.
+    /// Leases that run, and the keys that are bound to them.
     leases: BTreeMap<u64, HashSet<String>>,
-    given: u64,
+    /// The lease that was granted last.
+    last_lease: u64,
     processes: [Option<Process>; 3],
     /// Requests that nobody answered; each may arrive at any time, and more than once.
-    late: Vec<Transaction>,
-    /// Who got which term of which part.
-    terms: BTreeMap<(u32, u64), (String, u64)>,
-    takes: u32,
+    delayed: Vec<Transaction>,
+    /// Who got which term of which shard: name and lease by shard and term.
+    owners_by_term: BTreeMap<(u32, u64), (String, u64)>,
+    /// How often a shard was taken.
+    takeovers: u32,
 }
 
 impl World {
@@ -44,68 +50,81 @@
             now: 1000 * SECOND,
             store: Store::default(),
             leases: BTreeMap::new(),
-            given: 0,
+            last_lease: 0,
             processes: [None, None, None],
-            late: Vec::new(),
-            terms: BTreeMap::new(),
-            takes: 0,
+            delayed: Vec::new(),
+            owners_by_term: BTreeMap::new(),
+            takeovers: 0,
         }
     }
 
     /// A process starts, or ends and is back at once: nothing but its name is left of it.
-    fn start(&mut self, n: usize) {
-        self.processes[n] = Some(Process {
+    fn start(&mut self, node: usize) {
+        self.processes[node] = Some(Process {
             lease: None,
-            wanted: None,
+            desired: None,
             view: ClusterState::default(),
-            seen: 0,
+            log_position: 0,
         });
     }
 
-    /// The service carries a transaction out: whether it did, or `None` if a lease has ended.
-    fn apply(&mut self, t: &Transaction) -> Option<bool> {
-        let permits = t.mutations.iter().filter_map(|c| match c {
-            Mutation::Put { lease: permit, .. } => *permit,
-            Mutation::Delete { .. } => None,
-        });
-        if permits.into_iter().any(|p| !self.leases.contains_key(&p)) {
+    /// A process that was started.
+    fn process(&self, node: usize) -> &Process {
+        self.processes[node].as_ref().expect("started")
+    }
+
+    /// The service carries a transaction out: whether it did, or `None` if a lease has expired.
+    fn apply(&mut self, transaction: &Transaction) -> Option<bool> {
+        let leases = transaction
+            .mutations
+            .iter()
+            .filter_map(|mutation| match mutation {
+                Mutation::Put { lease, .. } => *lease,
+                Mutation::Delete { .. } => None,
+            });
+        if leases
+            .into_iter()
+            .any(|lease| !self.leases.contains_key(&lease))
+        {
             return None;
         }
-        if !self.store.apply(t) {
+        if !self.store.apply(transaction) {
             return Some(false);
         }
-        for c in &t.mutations {
+        for mutation in &transaction.mutations {
             for keys in self.leases.values_mut() {
-                keys.remove(c.key());
+                keys.remove(mutation.key());
             }
-            if let Mutation::Put {
-                key: put,
-                value: v,
-                lease: permit,
-            } = c
-            {
-                if let Some(p) = permit {
-                    self.leases.entry(*p).or_default().insert(put.clone());
+            if let Mutation::Put { key, value, lease } = mutation {
+                if let Some(lease) = lease {
+                    self.leases.entry(*lease).or_default().insert(key.clone());
                 }
-                if let Some(shard) = put.strip_prefix("c/part/") {
-                    let p: coppergw::membership::Shard = v.deserialized().expect("part");
-                    let shard: u32 = shard.parse().expect("number");
-                    let highest = self
-                        .terms
-                        .keys()
-                        .filter(|k| k.0 == shard)
-                        .map(|k| k.1)
-                        .max();
-                    assert!(highest.is_none_or(|h| h < p.term), "a term was given twice");
-                    self.terms.insert((shard, p.term), (p.owner, p.lease));
-                    self.takes += 1;
+                if let Some(number) = key.strip_prefix("c/part/") {
+                    let shard: Shard = value.deserialized().expect("shard");
+                    self.record_term(number.parse().expect("number"), shard);
                 }
             }
         }
         Some(true)
     }
 
-    fn end_lease(&mut self, lease: u64) {
+    fn record_term(&mut self, number: u32, shard: Shard) {
+        let highest = self
+            .owners_by_term
+            .keys()
+            .filter(|key| key.0 == number)
+            .map(|key| key.1)
+            .max();
+        assert!(
+            highest.is_none_or(|highest| highest < shard.term),
+            "a term was given twice"
+        );
+        self.owners_by_term
+            .insert((number, shard.term), (shard.owner, shard.lease));
+        self.takeovers += 1;
+    }
+
+    fn expire_lease(&mut self, lease: u64) {
         for key in self.leases.remove(&lease).unwrap_or_default() {
             self.store.apply(&Transaction {
                 preconditions: Vec::new(),
@@ -114,166 +133,216 @@
         }
     }
 
-    fn sync(&mut self, n: usize) {
-        let Some(p) = &mut self.processes[n] else {
+    /// A process reads everything.
+    fn sync(&mut self, node: usize) {
+        let Some(process) = &mut self.processes[node] else {
             return;
         };
-        for (rev, k, v) in &self.store.log[p.seen..] {
-            match v {
-                Some(v) => p.view.put(k, v, *rev),
-                None => p.view.delete(k, *rev),
+        for (revision, key, value) in &self.store.log[process.log_position..] {
+            match value {
+                Some(value) => process.view.put(key, value, *revision),
+                None => process.view.delete(key, *revision),
             }
         }
-        p.seen = self.store.log.len();
-        p.view.revision = self.store.rev;
+        process.log_position = self.store.log.len();
+        process.view.revision = self.store.rev;
     }
 
     /// Sends a transaction. `fate`: carried out and answered, carried out without an answer, on its way.
-    fn send(&mut self, n: usize, t: Transaction, fate: u8) {
+    fn send(&mut self, node: usize, transaction: Transaction, fate: u8) {
         match fate % 4 {
             0 | 1 => {
-                if self.apply(&t).is_none()
-                    && let Some(p) = &mut self.processes[n]
+                if self.apply(&transaction).is_none()
+                    && let Some(process) = &mut self.processes[node]
                 {
-                    p.lease = None;
+                    process.lease = None;
                 }
             }
             2 => {
-                self.apply(&t);
-                self.late.push(t);
+                self.apply(&transaction);
+                self.delayed.push(transaction);
             }
-            _ => self.late.push(t),
+            _ => self.delayed.push(transaction),
         }
     }
 
-    /// One round of a process's loops: lease, name, parts, lead.
-    fn round(&mut self, n: usize, fates: u8) {
-        let Some(p) = &mut self.processes[n] else {
+    /// One round of a process's loops: lease, member key, shards, leadership.
+    fn round(&mut self, node: usize, fates: u8) {
+        let Some(process) = &mut self.processes[node] else {
             return;
         };
-        if p.lease.is_none_or(|l| !self.leases.contains_key(&l)) {
-            self.given += 1;
-            self.leases.insert(self.given, HashSet::default());
-            p.lease = Some(self.given);
-            let before = p.view.members.get(NAMES[n]);
-            p.wanted = Some(Member::begin(before, self.given, VERSION, self.now));
+        if process
+            .lease
+            .is_none_or(|lease| !self.leases.contains_key(&lease))
+        {
+            self.last_lease += 1;
+            self.leases.insert(self.last_lease, HashSet::default());
+            process.lease = Some(self.last_lease);
+            let previous = process.view.members.get(NAMES[node]);
+            process.desired = Some(Member::new_incarnation(
+                previous,
+                self.last_lease,
+                LAYOUT_VERSION,
+                self.now,
+            ));
         }
         for step in 0..3 {
-            let Some(p) = &self.processes[n] else { return };
-            let (Some(lease), Some(wanted)) = (p.lease, &p.wanted) else {
+            let Some(process) = &self.processes[node] else {
+                return;
+            };
+            let (Some(lease), Some(desired)) = (process.lease, &process.desired) else {
                 return;
             };
             let incarnation = Incarnation {
-                node: NAMES[n],
+                node: NAMES[node],
                 lease,
             };
-            let t = match step {
-                0 => claim::name(&p.view, incarnation, wanted),
-                1 => claim::shards(
-                    &p.view,
-                    &p.view.members,
-                    incarnation,
-                    &mut HashSet::default(),
-                    self.now,
-                    OPS,
-                ),
-                _ => match claim::lead(&p.view, &p.view.members, incarnation, self.now) {
-                    LeaderStatus::Vacant(t) => Some(t),
-                    LeaderStatus::This | LeaderStatus::Other => None,
+            let view = &process.view;
+            let transaction = match step {
+                0 => claim_member_key(view, incarnation, desired),
+                1 => {
+                    let claim = ShardClaim {
+                        view,
+                        live_members: &view.members,
+                        incarnation,
+                        now: self.now,
+                        max_mutations: MAX_MUTATIONS,
+                    };
+                    claim_shards(&claim, &mut HashSet::default())
+                }
+                _ => match leader_status(view, &view.members, incarnation, self.now) {
+                    LeaderStatus::Vacant(claim) => Some(claim),
+                    LeaderStatus::Leading | LeaderStatus::Following => None,
                 },
             };
-            if let Some(t) = t {
-                self.send(n, t, fates >> (2 * step));
+            if let Some(transaction) = transaction {
+                self.send(node, transaction, fates >> (2 * step));
             }
-            self.sync(n);
+            self.sync(node);
         }
     }
 
-    fn step(&mut self, op: u8, a: u8, b: u8) {
-        let n = a as usize % NAMES.len();
-        match op % 12 {
-            0 => self.start(n),
-            1 | 2 => self.sync(n),
-            3..=6 => self.round(n, b),
+    /// One generated step: what happens, to which process, and how.
+    fn step(&mut self, operation: u8, selector: u8, argument: u8) {
+        let node = selector as usize % NAMES.len();
+        match operation % 12 {
+            0 => self.start(node),
+            1 | 2 => self.sync(node),
+            3..=6 => self.round(node, argument),
             7 => {
-                // Leases end because time passes: of processes that are gone, or are cut off.
-                let nth = self
+                // Leases expire because time passes: of processes that are gone, or are cut off.
+                let lease = self
                     .leases
                     .keys()
-                    .nth(b as usize % self.leases.len().max(1));
-                if let Some(l) = nth.copied() {
-                    self.end_lease(l);
+                    .nth(argument as usize % self.leases.len().max(1));
+                if let Some(lease) = lease.copied() {
+                    self.expire_lease(lease);
                 }
             }
             8 | 9 => {
-                if !self.late.is_empty() {
-                    let t = self.late[b as usize % self.late.len()].clone();
-                    self.apply(&t);
+                if !self.delayed.is_empty() {
+                    let late = self.delayed[argument as usize % self.delayed.len()].clone();
+                    self.apply(&late);
                 }
             }
-            _ => self.now += u64::from(b) * SECOND / 50,
+            _ => self.now += u64::from(argument) * SECOND / 50,
         }
-        // No two lives drive a part under one term, whatever they believe of themselves.
-        for shard in 0..SHARD_COUNT {
+        self.check_terms();
+    }
+
+    /// No two incarnations drive a shard under one term, whatever they believe of themselves.
+    fn check_terms(&self) {
+        for number in 0..SHARD_COUNT {
             let mut owners: Vec<(u64, u64)> = Vec::new();
-            for (k, p) in self.processes.iter().enumerate() {
-                let Some(p) = p else { continue };
-                let Some(x) = p.view.shards.get(&shard) else {
+            for (node, process) in self.processes.iter().enumerate() {
+                let Some(process) = process else { continue };
+                let Some(shard) = process.view.shards.get(&number) else {
                     continue;
                 };
-                if x.owner == NAMES[k] && Some(x.lease) == p.lease {
-                    owners.push((x.term, x.lease));
+                if shard.owner == NAMES[node] && Some(shard.lease) == process.lease {
+                    owners.push((shard.term, shard.lease));
                 }
             }
             owners.sort_unstable();
-            assert!(owners.windows(2).all(|w| w[0].0 < w[1].0), "{owners:?}");
+            assert!(
+                owners.windows(2).all(|pair| pair[0].0 < pair[1].0),
+                "{owners:?}"
+            );
         }
     }
 
-    /// Everything that was on its way arrives, old leases end, and from then on nothing fails.
+    /// Everything that was on its way arrives, old leases expire, and from then on nothing fails.
     fn settle(&mut self) {
-        for t in self.late.clone() {
-            self.apply(&t);
+        for late in self.delayed.clone() {
+            self.apply(&late);
         }
-        for n in 0..NAMES.len() {
-            if self.processes[n].is_none() {
-                self.start(n);
+        for node in 0..NAMES.len() {
+            if self.processes[node].is_none() {
+                self.start(node);
             }
         }
         for round in 0..40 {
-            for n in 0..NAMES.len() {
-                self.sync(n);
-                self.round(n, 0);
+            for node in 0..NAMES.len() {
+                self.sync(node);
+                self.round(node, 0);
             }
             if round == 3 {
-                let held: HashSet<u64> = self
-                    .processes
-                    .iter()
-                    .flatten()
-                    .filter_map(|p| p.lease)
-                    .collect();
-                let old: Vec<u64> = self.leases.keys().copied().collect();
-                for l in old.into_iter().filter(|l| !held.contains(l)) {
-                    self.end_lease(l);
-                }
+                self.expire_unused_leases();
             }
             self.now += 2 * SECOND;
         }
-        let v = &self.processes[0].as_ref().expect("started").view;
-        for (k, p) in self.processes.iter().enumerate() {
-            let p = p.as_ref().expect("started");
-            assert_eq!(v.members.get(NAMES[k]), p.wanted.as_ref(), "{}", NAMES[k]);
+        self.check_settled();
+    }
+
+    fn expire_unused_leases(&mut self) {
+        let used: HashSet<u64> = self
+            .processes
+            .iter()
+            .flatten()
+            .filter_map(|process| process.lease)
+            .collect();
+        let granted: Vec<u64> = self.leases.keys().copied().collect();
+        for lease in granted.into_iter().filter(|lease| !used.contains(lease)) {
+            self.expire_lease(lease);
+        }
+    }
+
+    /// Each process has its member key and a third of the shards, and one of them leads.
+    fn check_settled(&self) {
+        let view = &self.process(0).view;
+        for (node, name) in NAMES.iter().enumerate() {
+            let desired = self.process(node).desired.as_ref();
+            assert_eq!(view.members.get(*name), desired, "{name}");
         }
-        let alive = |node: &str, lease| v.members.get(node).is_some_and(|m| m.lease == lease);
+        let is_live = |node: &str, lease| {
+            view.members
+                .get(node)
+                .is_some_and(|member| member.lease == lease)
+        };
         let mut load: BTreeMap<&str, u32> = BTreeMap::new();
-        for n in 0..SHARD_COUNT {
-            let p = v.shards.get(&n).expect("taken");
-            assert!(alive(&p.owner, p.lease), "a part of an ended life");
-            *load.entry(&p.owner).or_default() += 1;
+        for number in 0..SHARD_COUNT {
+            let shard = view.shards.get(&number).expect("taken");
+            assert!(
+                is_live(&shard.owner, shard.lease),
+                "a shard of an ended incarnation"
+            );
+            *load.entry(&shard.owner).or_default() += 1;
         }
-        assert!(load.values().all(|l| *l == SHARD_COUNT / 3), "{load:?}");
-        let l = v.leader.as_ref().expect("a leader");
-        assert!(alive(&l.node, l.lease), "an ended life leads");
+        assert!(
+            load.values().all(|load| *load == SHARD_COUNT / 3),
+            "{load:?}"
+        );
+        let leader = view.leader.as_ref().expect("a leader");
+        assert!(
+            is_live(&leader.node, leader.lease),
+            "an ended incarnation leads"
+        );
+    }
+
+    /// Name of the leader as a process sees it.
+    fn leader(&self, node: usize) -> String {
+        let leader = self.process(node).view.leader.clone();
+        leader.expect("a leader").node
     }
 }
 
@@ -285,136 +354,136 @@
         ..ProptestConfig::default()
     })]
     /// Whatever arrives when, no term is given twice, and once nothing fails any more each controller has
-    /// its name, a third of the parts, and one of them leads.
+    /// its member key, a third of the shards, and one of them leads.
     #[test]
-    fn a_new_life_gets_its_place_whatever_the_old_one_left(
-        ops in proptest::collection::vec(any::<(u8, u8, u8)>(), 20..300),
+    fn a_new_incarnation_gets_its_place_whatever_the_old_one_left(
+        steps in proptest::collection::vec(any::<(u8, u8, u8)>(), 20..300),
     ) {
-        let mut w = World::new();
-        for (op, a, b) in ops {
-            w.step(op, a, b);
+        let mut world = World::new();
+        for (operation, selector, argument) in steps {
+            world.step(operation, selector, argument);
         }
-        w.settle();
+        world.settle();
     }
 }
 
-/// A write by which an earlier life named itself, delivered while its lease still runs, would put the
-/// key on that lease: the key goes with it, and the new life is no member.
+/// A write of its member key by an earlier incarnation, delivered while its lease still runs, would bind the key to
+/// that lease: the key disappears with it, and the new incarnation is no member.
 #[test]
-fn a_late_name_of_an_earlier_life_changes_nothing() {
-    let mut w = World::new();
-    w.start(0);
-    w.sync(0);
-    w.round(0, 0b11);
-    let late = w.late[0].clone();
-    w.start(0);
-    w.round(0, 0);
-    assert_eq!(w.apply(&late), Some(false));
-    // Without the condition it would be carried out; the new life then says so again.
-    let bare = Transaction {
+fn a_late_member_key_of_an_earlier_incarnation_changes_nothing() {
+    let mut world = World::new();
+    world.start(0);
+    world.sync(0);
+    world.round(0, 0b11);
+    let late = world.delayed[0].clone();
+    world.start(0);
+    world.round(0, 0);
+    assert_eq!(world.apply(&late), Some(false));
+    // Without the precondition it would be carried out; the new incarnation then writes its key again.
+    let unconditional = Transaction {
         preconditions: Vec::new(),
         ..late
     };
-    assert_eq!(w.apply(&bare), Some(true));
-    w.end_lease(1);
-    w.sync(0);
-    w.round(0, 0);
-    let p = w.processes[0].as_ref().expect("started");
-    assert_eq!(p.view.members.get("a").map(|m| m.lease), p.lease);
+    assert_eq!(world.apply(&unconditional), Some(true));
+    world.expire_lease(1);
+    world.sync(0);
+    world.round(0, 0);
+    let process = world.process(0);
+    assert_eq!(
+        process.view.members.get("a").map(|member| member.lease),
+        process.lease
+    );
 }
 
-/// The key of an ended leader stands until its lease ends, while the next life of the same name is
-/// alive. Nobody led for these three seconds, and for ever if that life ended as well.
+/// The key of an ended leader stands until its lease expires, while the next incarnation of the same name is alive.
+/// Were the leader a name, nobody would lead until then, and for ever if that incarnation ended as well.
 #[test]
-fn the_leader_is_a_life_and_not_a_name() {
-    let mut w = World::new();
-    for n in 0..3 {
-        w.start(n);
-        w.sync(n);
-        w.round(n, 0);
+fn the_leader_is_an_incarnation_and_not_a_name() {
+    let mut world = World::new();
+    for node in 0..3 {
+        world.start(node);
+        world.sync(node);
+        world.round(node, 0);
     }
-    w.sync(1);
-    let leader = |w: &World, n: usize| {
-        let p = w.processes[n].as_ref().expect("started");
-        p.view.leader.clone().expect("a leader")
-    };
-    assert_eq!(leader(&w, 1).node, "a");
-    w.start(0);
-    w.sync(0);
-    w.round(0, 0b11_0000);
-    w.sync(1);
-    w.round(1, 0);
-    assert_eq!(leader(&w, 1).node, "b");
+    world.sync(1);
+    assert_eq!(world.leader(1), "a");
+    world.start(0);
+    world.sync(0);
+    world.round(0, 0b11_0000);
+    world.sync(1);
+    world.round(1, 0);
+    assert_eq!(world.leader(1), "b");
 }
 
-/// One that ends each second, and is back at once, takes its parts once or twice; then those who stay
-/// drive them until it has stayed as well.
+/// One that ends each second, and is back at once, takes its shards once or twice; then those that stay drive them
+/// until it has stayed as well.
 #[test]
-fn one_that_ends_again_and_again_is_given_nothing() {
-    let mut w = World::new();
-    for n in 0..3 {
-        w.start(n);
+fn a_flapping_controller_is_given_no_shards() {
+    let mut world = World::new();
+    for node in 0..3 {
+        world.start(node);
     }
     for _ in 0..20 {
-        for n in 0..3 {
-            w.sync(n);
-            w.round(n, 0);
+        for node in 0..3 {
+            world.sync(node);
+            world.round(node, 0);
         }
-        w.now += SECOND;
+        world.now += SECOND;
     }
-    let before = w.takes;
+    let before = world.takeovers;
     for _ in 0..60 {
-        w.start(2);
-        for n in [2, 0, 1] {
-            w.sync(n);
-            w.round(n, 0);
+        world.start(2);
+        for node in [2, 0, 1] {
+            world.sync(node);
+            world.round(node, 0);
         }
-        w.now += SECOND;
+        world.now += SECOND;
     }
-    let (moved, shards) = (w.takes - before, SHARD_COUNT / 3);
-    assert!(moved <= 2 * shards, "{moved} takes of {shards} parts");
-    let owns = |w: &World| {
-        let p = w.processes[0].as_ref().expect("started");
-        p.view.shards.values().filter(|x| x.owner == "c").count()
-    };
-    assert_eq!(owns(&w), 0);
-    let leader = |w: &World| {
-        let p = w.processes[0].as_ref().expect("started");
-        p.view.leader.clone().expect("a leader").node
+    let (moved, share) = (world.takeovers - before, SHARD_COUNT / 3);
+    assert!(moved <= 2 * share, "{moved} takeovers of {share} shards");
+    let owned = |world: &World| {
+        let shards = world.process(0).view.shards.values();
+        shards.filter(|shard| shard.owner == "c").count()
     };
-    assert_ne!(leader(&w), "c");
+    assert_eq!(owned(&world), 0);
+    assert_ne!(world.leader(0), "c");
     for _ in 0..45 {
-        for n in 0..3 {
-            w.sync(n);
-            w.round(n, 0);
+        for node in 0..3 {
+            world.sync(node);
+            world.round(node, 0);
         }
-        w.now += SECOND;
+        world.now += SECOND;
     }
-    assert_eq!(owns(&w), shards as usize, "it stayed, and has its share");
+    assert_eq!(
+        owned(&world),
+        share as usize,
+        "it stayed, and has its share"
+    );
 }
 
-/// If all of them end again and again there is nobody better: each life takes what it can.
+/// If all of them flap there is nobody better: each incarnation takes what it can.
 #[test]
-fn all_that_end_again_and_again_still_drive_the_fleet() {
-    let mut w = World::new();
+fn controllers_that_all_flap_still_drive_all_machines() {
+    let mut world = World::new();
     for _ in 0..20 {
-        for n in 0..3 {
-            w.start(n);
-            w.sync(n);
+        for node in 0..3 {
+            world.start(node);
+            world.sync(node);
         }
         for _ in 0..2 {
-            for n in 0..3 {
-                w.sync(n);
-                w.round(n, 0);
+            for node in 0..3 {
+                world.sync(node);
+                world.round(node, 0);
             }
         }
-        w.sync(0);
-        let v = &w.processes[0].as_ref().expect("started").view;
-        for shard in 0..SHARD_COUNT {
-            let p = v.shards.get(&shard).expect("taken");
-            assert!(v.members.get(&p.owner).is_some_and(|m| m.lease == p.lease));
+        world.sync(0);
+        let view = &world.process(0).view;
+        for number in 0..SHARD_COUNT {
+            let shard = view.shards.get(&number).expect("taken");
+            let owner = view.members.get(&shard.owner);
+            assert!(owner.is_some_and(|member| member.lease == shard.lease));
         }
-        assert!(v.leader.is_some());
-        w.now += SECOND;
+        assert!(view.leader.is_some());
+        world.now += SECOND;
     }
 }
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -14,7 +14,7 @@
 use coppergw::jobs::model::{
     JobId, JobRecord, JobSpec, Placement, Resources, TaskBlock, TaskState,
 };
-use coppergw::membership::{Member, SHARD_COUNT, Shard, assign, shard_of};
+use coppergw::membership::{Member, SHARD_COUNT, Shard, assign_shards, shard_of};
 use coppergw::scheduling::{SchedulableMachine, SchedulingInput, schedule};
 use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
@@ -196,7 +196,7 @@
                 since: 0,
                 unreachable_by_workers: false,
                 version: 0,
-                ends: 0,
+                restart_count: 0,
             };
             self.store.put(key, &m);
         }
@@ -226,7 +226,7 @@
             return;
         }
         let node = &self.nodes[n];
-        let want = assign(&node.view.shards, &node.view.members, self.now);
+        let want = assign_shards(&node.view.shards, &node.view.members, self.now);
         let mut t = Transaction::default();
         for p in 0..SHARD_COUNT {
             let have = node.view.shards.get(&p);
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -16,7 +16,7 @@
     TaskBlock, TaskState,
 };
 use coppergw::jobs::pipelines::{DependencyCheck, answer, check_dependencies};
-use coppergw::membership::{Member, VERSION, Version, all_know};
+use coppergw::membership::{LAYOUT_VERSION, Member, Version, all_support_layout};
 use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
 use coppergw::wire::state::{Mutation, Transaction};
@@ -224,16 +224,21 @@
             new,
         };
         if new {
-            self.put(keys::version(&name(n)), &Version { version: VERSION });
+            self.put(
+                keys::version(&name(n)),
+                &Version {
+                    version: LAYOUT_VERSION,
+                },
+            );
         }
         let members = (0..NODES).map(|n| {
-            let version = if self.nodes[n].new { VERSION } else { 0 };
+            let version = if self.nodes[n].new { LAYOUT_VERSION } else { 0 };
             let m = Member {
                 lease: 1,
                 since: 0,
                 unreachable_by_workers: false,
                 version,
-                ends: 0,
+                restart_count: 0,
             };
             (name(n), m)
         });
@@ -241,8 +246,13 @@
         self.sync(n);
         let names: Vec<String> = (0..NODES).map(name).collect();
         let view = &self.nodes[n].view;
-        if new && all_know(names.iter().map(String::as_str), &view.versions, &members) {
-            self.put(keys::LAYOUT.into(), &Version { version: VERSION });
+        if new && all_support_layout(names.iter().map(String::as_str), &view.versions, &members) {
+            self.put(
+                keys::LAYOUT.into(),
+                &Version {
+                    version: LAYOUT_VERSION,
+                },
+            );
         }
     }
 
@@ -807,17 +817,17 @@
         since: 0,
         unreachable_by_workers: false,
         version,
-        ends: 0,
+        restart_count: 0,
     };
     let names = ["a", "b", "c"];
     let two = BTreeMap::from([("a".into(), v(2)), ("b".into(), v(2))]);
     let all = BTreeMap::from([("a".into(), v(2)), ("b".into(), v(2)), ("c".into(), v(2))]);
     let alive = BTreeMap::from([("a".to_string(), m(2)), ("b".to_string(), m(2))]);
     let back = BTreeMap::from([("a".to_string(), m(2)), ("c".to_string(), m(0))]);
-    assert!(!all_know(names.into_iter(), &two, &alive));
-    assert!(all_know(names.into_iter(), &all, &alive));
+    assert!(!all_support_layout(names.into_iter(), &two, &alive));
+    assert!(all_support_layout(names.into_iter(), &all, &alive));
     assert!(
-        !all_know(names.into_iter(), &all, &back),
+        !all_support_layout(names.into_iter(), &all, &back),
         "one was rolled back"
     );
 }
