--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -14,7 +14,7 @@
 const UNREACHABLE_AFTER_FAILURES: u32 = 2;
 /// What a peer said of its machines counts for so long: a few heartbeats.
 const READY_REPORT_VALIDITY: Micros = 3 * SECOND;
-/// That a machine was reported at all is remembered for so long, more than a machine takes to boot.
+/// That a machine was reported at all is remembered for so long, as its record may be written much later.
 const READY_REPORT_RETENTION: Micros = 10 * 60 * SECOND;
 /// That a peer does not reach the state service counts for so long after the question that showed it.
 const OUTAGE_VALIDITY: Micros = 4 * SECOND;
--- a/src/membership/worker_reachability.rs
+++ b/src/membership/worker_reachability.rs
@@ -108,3 +108,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
