--- a/src/workers/machine_records.rs
+++ b/src/workers/machine_records.rs
@@ -13,7 +13,7 @@
 use crate::autoscaler::{UP_MAX, UP_TOLD, declare_dead, put_machine};
 use crate::controller::Controller;
 use crate::ids::MachineId;
-use crate::membership::{READY_MOST, shard_of};
+use crate::membership::{MAX_READY_MACHINES, shard_of};
 use crate::store::client::TransactionOutcome;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
@@ -330,7 +330,7 @@
         record.is_some_and(|r| r.state == MachineState::Booting)
     };
     let booting = machines.keys().filter(is_booting).count();
-    match view.layout.is_some() && booting <= READY_MOST {
+    match view.layout.is_some() && booting <= MAX_READY_MACHINES {
         true => UP_TOLD,
         false => UP_MAX,
     }
--- a/tests/invariants/controllers.rs
+++ b/tests/invariants/controllers.rs
@@ -7,7 +7,7 @@
 use coppergw::ids::MachineId;
 use coppergw::jobs::commit::{JobChange, stage};
 use coppergw::jobs::model::{Placement, Resources};
-use coppergw::membership::{Member, SHARD_COUNT, Shard, assign, shard_of};
+use coppergw::membership::{Member, SHARD_COUNT, Shard, assign_shards, shard_of};
 use coppergw::scheduling::{SchedulableMachine, SchedulingInput, schedule};
 use coppergw::store::keys;
 use coppergw::time::SECOND;
@@ -36,7 +36,7 @@
                 since: 0,
                 unreachable_by_workers: false,
                 version: 0,
-                ends: 0,
+                restart_count: 0,
             };
             self.store.put(key, &member);
         }
@@ -66,7 +66,7 @@
             return;
         }
         let controller = &self.controllers[controller_index];
-        let assigned = assign(&controller.view.shards, &controller.view.members, self.now);
+        let assigned = assign_shards(&controller.view.shards, &controller.view.members, self.now);
         let mut transaction = Transaction::default();
         for shard in 0..SHARD_COUNT {
             let current = controller.view.shards.get(&shard);
