--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! coppergw: a cluster scheduler.
+//! coppergw: a cluster scheduler. `controller` starts everything; each other module is one slice of the controller.
 #![forbid(unsafe_code)]
 
 pub use coppergw_base::{ids, settings, time, wire};
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,3 +1,5 @@
+//! The program: everything is in the library.
+
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
