--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! What is accepted: nothing that lacks a field, is of another form, or can never run; and all that can.
+//! Admission: what lacks a field, is malformed or can never run is rejected, everything else is accepted.
 
 mod common;
 
@@ -20,12 +20,14 @@
 }
 
 /// Two types: one with GPUs in zone a, one without in zones a and b.
-fn types() -> BTreeMap<String, MachineType> {
+fn machine_types() -> BTreeMap<String, MachineType> {
     let gpu = common::machine_type("gpu", 24.0, 2.0);
     let mut cpu = common::machine_type("cpu", 16.0, 0.0);
     cpu.memory_gb = 64.0;
     cpu.zones = vec!["a".into(), "b".into()];
-    [gpu, cpu].map(|t| (t.name.clone(), t)).into()
+    [gpu, cpu]
+        .map(|machine_type| (machine_type.name.clone(), machine_type))
+        .into()
 }
 
 fn submission() -> Value {
@@ -35,29 +37,30 @@
         "flush_s": 4.0, "due_s": 900.0, "waits_on": []})
 }
 
-/// How a body is answered by what it says alone.
-fn judge(body: &Value) -> u16 {
-    let Ok(s) = decode::<Submission>(&encode(body)) else {
+/// Status with which a body is answered if no job of its id was accepted before.
+fn status_of(body: &Value) -> u16 {
+    let Ok(submission) = decode::<Submission>(&encode(body)) else {
         return 400;
     };
-    match validate(&s, &settings(), &types(), 1) {
+    match validate(&submission, &settings(), &machine_types(), 1) {
         Ok(_) => 201,
         Err(AdmissionError::Malformed(_)) => 400,
         Err(AdmissionError::Impossible(_)) => 422,
     }
 }
 
-fn with(changes: &[(&str, Value)]) -> u16 {
+/// Status of the submission with some fields changed.
+fn status_with(changes: &[(&str, Value)]) -> u16 {
     let mut body = submission();
-    for (field, v) in changes {
-        body[*field] = v.clone();
+    for (field, value) in changes {
+        body[*field] = value.clone();
     }
-    judge(&body)
+    status_of(&body)
 }
 
-/// Each field of a submission: whether it may be null or left out, and what is no value of it.
+/// Each field of a submission: whether it may be null or left out, and values that are malformed.
 #[test]
-fn every_field_is_looked_at() {
+fn every_field_is_checked() {
     let texts = || {
         vec![
             json!(7),
@@ -126,7 +129,7 @@
             vec![json!("req-1"), json!([1]), json!({})],
         ),
     ];
-    assert_eq!(judge(&submission()), 201);
+    assert_eq!(status_of(&submission()), 201);
     let all = submission();
     let fields: Vec<&String> = all.as_object().expect("a map").keys().collect();
     assert_eq!(fields.len(), table.len(), "a row for each");
@@ -134,20 +137,24 @@
         let mut without = submission();
         without.as_object_mut().expect("a map").remove(field);
         let want = if optional { 201 } else { 400 };
-        assert_eq!(judge(&without), want, "without {field}");
-        assert_eq!(with(&[(field, Value::Null)]), want, "{field} null");
-        for v in wrong {
-            assert_eq!(with(&[(field, v.clone())]), 400, "{field} {v}");
+        assert_eq!(status_of(&without), want, "without {field}");
+        assert_eq!(status_with(&[(field, Value::Null)]), want, "{field} null");
+        for value in wrong {
+            assert_eq!(
+                status_with(&[(field, value.clone())]),
+                400,
+                "{field} {value}"
+            );
         }
     }
     for body in [json!([]), json!("x"), json!(null), json!({})] {
-        assert_eq!(judge(&body), 400);
+        assert_eq!(status_of(&body), 400);
     }
 }
 
-/// Not a number, or endless, cannot be written as JSON.
+/// CBOR can hold amounts that are infinite or not a number, which JSON cannot.
 #[test]
-fn no_amount_is_endless() {
+fn amounts_are_finite() {
     for bad in [f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
         for field in [
             "cores",
@@ -159,53 +166,61 @@
             "flush_s",
             "due_s",
         ] {
-            let mut s: ciborium::Value =
+            let mut body: ciborium::Value =
                 ciborium::Value::serialized(&submission()).expect("a value");
-            for (k, v) in s.as_map_mut().expect("a map") {
-                if k.as_text() == Some(field) {
-                    *v = bad.into();
+            for (key, value) in body.as_map_mut().expect("a map") {
+                if key.as_text() == Some(field) {
+                    *value = bad.into();
                 }
             }
-            let s: Submission = decode(&encode(&s)).expect("a submission");
-            let e = validate(&s, &settings(), &types(), 1);
+            let submission: Submission = decode(&encode(&body)).expect("a submission");
+            let verdict = validate(&submission, &settings(), &machine_types(), 1);
             assert!(
-                matches!(e, Err(AdmissionError::Malformed(_))),
+                matches!(verdict, Err(AdmissionError::Malformed(_))),
                 "{field} {bad}"
             );
         }
     }
 }
 
-/// What can never run: by type, zone, amounts that differ from what there is by a digit that is not kept, and team.
+/// What can never run: by machine type, zone, team limit, and amounts that exceed a machine by less than the
+/// thousandth to which amounts are stored.
 #[test]
-fn what_can_never_run_is_told_so() {
-    assert_eq!(with(&[("owner", json!("nobody"))]), 422);
-    assert_eq!(with(&[("rigs", json!([]))]), 422);
-    assert_eq!(with(&[("rigs", json!(["other"]))]), 422);
-    assert_eq!(with(&[("rigs", json!(["other", "gpu"]))]), 201);
-    assert_eq!(with(&[("yard", json!("c"))]), 422);
-    assert_eq!(with(&[("yard", json!("b"))]), 422, "no GPUs there");
-    assert_eq!(with(&[("yard", json!("b")), ("rigs", Value::Null)]), 422);
+fn what_can_never_run_is_rejected() {
+    assert_eq!(status_with(&[("owner", json!("nobody"))]), 422);
+    assert_eq!(status_with(&[("rigs", json!([]))]), 422);
+    assert_eq!(status_with(&[("rigs", json!(["other"]))]), 422);
+    assert_eq!(status_with(&[("rigs", json!(["other", "gpu"]))]), 201);
+    assert_eq!(status_with(&[("yard", json!("c"))]), 422);
+    assert_eq!(status_with(&[("yard", json!("b"))]), 422, "no GPUs there");
+    assert_eq!(
+        status_with(&[("yard", json!("b")), ("rigs", Value::Null)]),
+        422
+    );
     let plain = [
         ("yard", json!("b")),
         ("rigs", Value::Null),
         ("accelerators", json!(0.0)),
     ];
-    assert_eq!(with(&plain), 201);
+    assert_eq!(status_with(&plain), 201);
     for (field, most) in [("cores", 24.0), ("accelerators", 2.0), ("ram_gb", 192.0)] {
-        assert_eq!(with(&[(field, json!(most))]), 201, "{field}");
-        assert_eq!(with(&[(field, json!(most + 0.0004))]), 422, "{field}");
+        assert_eq!(status_with(&[(field, json!(most))]), 201, "{field}");
+        assert_eq!(
+            status_with(&[(field, json!(most + 0.0004))]),
+            422,
+            "{field}"
+        );
     }
     // All of a gang, one task of an array.
-    let capped = |shape, shards, cores| {
+    let capped = |kind, task_count, cpus| {
         let body = [
             ("owner", json!("capped")),
-            ("shape", json!(shape)),
-            ("shards", json!(shards)),
-            ("cores", json!(cores)),
+            ("shape", json!(kind)),
+            ("shards", json!(task_count)),
+            ("cores", json!(cpus)),
             ("accelerators", json!(0.0)),
         ];
-        with(&body)
+        status_with(&body)
     };
     assert_eq!(capped("batch", 100, 4.0), 201);
     assert_eq!(capped("batch", 100, 4.0004), 422);
@@ -213,44 +228,46 @@
     assert_eq!(capped("group", 4, 1.0004), 422);
     assert_eq!(capped("standing", 5, 1.0), 422);
     let gpus = [("owner", json!("capped")), ("shards", json!(3))];
-    assert_eq!(with(&gpus), 422);
+    assert_eq!(status_with(&gpus), 422);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(37), ..ProptestConfig::default() })]
 
-    /// Around every bound: accepted if and only if one task fits a type that is allowed and there, and the team may.
+    /// Around every bound: accepted if and only if one task fits an allowed machine type in an allowed zone and the
+    /// team's limit allows the job.
     #[test]
     fn accepted_is_what_can_run(
-        cores in prop_oneof![0.0..30.0f64, Just(16.0), Just(24.0)],
+        cpus in prop_oneof![0.0..30.0f64, Just(16.0), Just(24.0)],
         gpus in 0u8..4,
-        ram in prop_oneof![0.0..200.0f64, Just(64.0), Just(192.0)],
-        rig in 0u8..4, yard in 0u8..4, shape in 0u8..3, shards in 1u32..6, capped in any::<bool>(),
+        memory_gb in prop_oneof![0.0..200.0f64, Just(64.0), Just(192.0)],
+        type_case in 0u8..4, zone_case in 0u8..4, kind in 0u8..3, task_count in 1u32..6, capped in any::<bool>(),
     ) {
-        let rigs = [json!(["gpu"]), json!(["cpu"]), Value::Null, json!(["none"])][rig as usize].clone();
-        let zone = [json!("a"), json!("b"), Value::Null, json!("c")][yard as usize].clone();
-        let shape = ["batch", "group", "standing"][shape as usize];
-        let (gpus, n) = (f64::from(gpus), if shape == "batch" { 1.0 } else { f64::from(shards) });
-        let fits = types().values().any(|t| {
-            (rigs.is_null() || rigs[0] == json!(t.name))
-                && (zone.is_null() || t.zones.iter().any(|y| zone == json!(y)))
-                && cores <= t.cpus && gpus <= t.gpus && ram <= t.memory_gb
+        let allowed_types = [json!(["gpu"]), json!(["cpu"]), Value::Null, json!(["none"])][type_case as usize].clone();
+        let zone = [json!("a"), json!("b"), Value::Null, json!("c")][zone_case as usize].clone();
+        let kind = ["batch", "group", "standing"][kind as usize];
+        let gpus = f64::from(gpus);
+        let counted_tasks = if kind == "batch" { 1.0 } else { f64::from(task_count) };
+        let fits = machine_types().values().any(|machine_type| {
+            (allowed_types.is_null() || allowed_types[0] == json!(machine_type.name))
+                && (zone.is_null() || machine_type.zones.iter().any(|offered| zone == json!(offered)))
+                && cpus <= machine_type.cpus && gpus <= machine_type.gpus && memory_gb <= machine_type.memory_gb
         });
-        let may = !capped || (cores * n <= 4.0 && gpus * n <= 2.0);
-        let got = with(&[
-            ("owner", json!(if capped { "capped" } else { "free" })), ("shape", json!(shape)), ("shards", json!(shards)),
-            ("cores", json!(cores)), ("accelerators", json!(gpus)), ("ram_gb", json!(ram)), ("rigs", rigs), ("yard", zone),
+        let within_limit = !capped || (cpus * counted_tasks <= 4.0 && gpus * counted_tasks <= 2.0);
+        let status = status_with(&[
+            ("owner", json!(if capped { "capped" } else { "free" })), ("shape", json!(kind)), ("shards", json!(task_count)),
+            ("cores", json!(cpus)), ("accelerators", json!(gpus)), ("ram_gb", json!(memory_gb)),
+            ("rigs", allowed_types), ("yard", zone),
         ]);
-        prop_assert_eq!(got, if fits && may { 201 } else { 422 });
+        prop_assert_eq!(status, if fits && within_limit { 201 } else { 422 });
     }
 
-    /// A body that is no submission still says whose it is, if it says that: a job that was accepted under this id
-    /// keeps its answer.
+    /// The id is read from a malformed submission too: a job that was accepted under it is answered with its state.
     #[test]
-    fn a_body_that_is_none_still_names_its_job(n in any::<u32>(), lacking in 0usize..21) {
+    fn a_malformed_submission_still_names_its_job(number in any::<u32>(), missing in 0usize..21) {
         let mut body = submission();
-        body["id"] = json!(format!("req-{n}"));
-        let field = body.as_object().expect("a map").keys().nth(lacking).expect("a field").clone();
+        body["id"] = json!(format!("req-{number}"));
+        let field = body.as_object().expect("a map").keys().nth(missing).expect("a field").clone();
         body.as_object_mut().expect("a map").remove(&field);
         let id = id_in(&encode(&body));
         prop_assert_eq!(id.is_some_and(|id| valid_id(&id)), field != "id");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests share: a job, a machine type, limits and a state service of their own.
+//! Fixtures that the tests share: settings, limits, a job, a machine, a machine type, an in-memory state service,
+//! and a check of the indexes of the cluster state.
 #![allow(dead_code)]
 
 use coppergw::autoscaler::model::{MachineRecord, MachineState};
@@ -12,7 +13,7 @@
 use coppergw::wire::user::{JobKind, Priority};
 use std::collections::BTreeMap;
 
-/// Limits of the grown deployments, in the layout that every version reads.
+/// Limits of transactions in the large deployments, in the layout that every version reads.
 pub const LIMITS: TransactionLimits = TransactionLimits {
     max_mutations: 16,
     max_merged_mutations: 16,
@@ -58,7 +59,7 @@
 max_connections = 2500
 "#;
 
-/// A job of one plain class; tests change what matters to them.
+/// A job without constraints; tests change the fields that matter to them.
 pub fn spec(kind: JobKind, tasks: u32) -> JobSpec {
     JobSpec {
         class: "c".into(),
@@ -88,10 +89,10 @@
     }
 }
 
-/// An ordinary machine of a type that is up.
-pub fn up(kind: &str) -> MachineRecord {
+/// An on-demand machine that is up.
+pub fn up(machine_type: &str) -> MachineRecord {
     MachineRecord {
-        machine_type: kind.into(),
+        machine_type: machine_type.into(),
         zone: "a".into(),
         spot: false,
         address: None,
@@ -101,11 +102,11 @@
     }
 }
 
-/// A machine type of one zone.
-pub fn machine_type(sku: &str, cores: f64, gpus: f64) -> MachineType {
+/// A machine type that is offered in zone `a` only.
+pub fn machine_type(name: &str, cpus: f64, gpus: f64) -> MachineType {
     MachineType {
-        name: sku.into(),
-        cpus: cores,
+        name: name.into(),
+        cpus,
         gpus,
         memory_gb: 192.0,
         image_cache_gb: 30.0,
@@ -117,105 +118,113 @@
     }
 }
 
-/// A stand-in for the state service.
+/// An in-memory state service.
 #[derive(Default)]
 pub struct Store {
+    /// Revision of the last transaction.
     pub rev: u64,
+    /// Each key's value and version.
     pub keys: BTreeMap<String, (ciborium::Value, u64)>,
+    /// Each change: revision, key, value if it was not deleted.
     pub log: Vec<(u64, String, Option<ciborium::Value>)>,
 }
 
 impl Store {
-    pub fn apply(&mut self, t: &Transaction) -> bool {
-        for Precondition {
-            key: path,
-            version: stamp,
-        } in &t.preconditions
-        {
-            if self.keys.get(path).map_or(0, |k| k.1) != *stamp {
+    /// Carries out a transaction; `false` if a precondition fails.
+    pub fn apply(&mut self, transaction: &Transaction) -> bool {
+        for Precondition { key, version } in &transaction.preconditions {
+            if self.keys.get(key).map_or(0, |entry| entry.1) != *version {
                 return false;
             }
         }
         self.rev += 1;
-        for c in &t.mutations {
-            let (key, v) = match c {
-                Mutation::Put {
-                    key: put, value: v, ..
-                } => (put, Some(v.clone())),
-                Mutation::Delete { key: remove } => (remove, None),
+        for mutation in &transaction.mutations {
+            let (key, value) = match mutation {
+                Mutation::Put { key, value, .. } => (key, Some(value.clone())),
+                Mutation::Delete { key } => (key, None),
             };
-            let there = match &v {
-                Some(v) => {
-                    self.keys.insert(key.clone(), (v.clone(), self.rev));
+            let changed = match &value {
+                Some(value) => {
+                    self.keys.insert(key.clone(), (value.clone(), self.rev));
                     true
                 }
                 None => self.keys.remove(key).is_some(),
             };
-            if there {
-                self.log.push((self.rev, key.clone(), v));
+            if changed {
+                self.log.push((self.rev, key.clone(), value));
             }
         }
         true
     }
 
-    pub fn put<T: serde::Serialize>(&mut self, key: String, v: &T) {
+    /// Writes a key without preconditions.
+    pub fn put<T: serde::Serialize>(&mut self, key: String, value: &T) {
         self.apply(&Transaction {
             preconditions: vec![],
             mutations: vec![Mutation::Put {
                 key,
-                value: to_value(v),
+                value: to_value(value),
                 lease: None,
             }],
         });
     }
 }
 
-/// The index as going through all jobs and machines gives it.
-fn index_afresh(v: &ClusterState) -> Indexes {
-    let mut out = Indexes::default();
-    for (id, j) in &v.jobs {
-        if j.waiting > 0 {
-            out.waiting.insert(id.clone());
-            if j.spec.kind == JobKind::Service {
-                out.services.insert(id.clone());
+/// The indexes computed from all jobs and machines.
+fn recompute_indexes(view: &ClusterState) -> Indexes {
+    let mut indexes = Indexes::default();
+    for (id, job) in &view.jobs {
+        if job.waiting > 0 {
+            indexes.waiting.insert(id.clone());
+            if job.spec.kind == JobKind::Service {
+                indexes.services.insert(id.clone());
             }
         }
-        if (j.cancelled() && j.placed == 0) || j.done == j.spec.task_count {
-            out.finished.insert(id.clone());
+        if (job.cancelled() && job.placed == 0) || job.done == job.spec.task_count {
+            indexes.finished.insert(id.clone());
         }
-        let r = &j.spec.resources;
-        if r.gpus > 0 {
-            *out.gpu_task_sizes.entry(r.amounts()).or_default() += 1;
+        let resources = &job.spec.resources;
+        if resources.gpus > 0 {
+            *indexes
+                .gpu_task_sizes
+                .entry(resources.amounts())
+                .or_default() += 1;
         }
-        for _ in 0..j.placed {
-            out.teams.entry(j.spec.team.clone()).or_default().add(r);
+        for _ in 0..job.placed {
+            let team = indexes.teams.entry(job.spec.team.clone());
+            team.or_default().add(resources);
         }
     }
-    out.teams.retain(|_, r| *r != Resources::default());
-    for (id, h) in &v.machines {
-        if matches!(h.state, MachineState::Draining | MachineState::Closing) {
-            out.not_accepting.insert(id.clone());
+    indexes
+        .teams
+        .retain(|_, used| *used != Resources::default());
+    for (id, machine) in &view.machines {
+        if matches!(
+            machine.state,
+            MachineState::Draining | MachineState::Closing
+        ) {
+            indexes.not_accepting.insert(id.clone());
         }
-        if let Some(t) = v.machine_types.get(&h.machine_type) {
-            let mut free = Resources::of_machine(t);
-            for (job, _) in v.tasks_on(id).into_iter().flat_map(|t| t.keys()) {
-                free.subtract(&v.jobs[job].spec.resources);
+        if let Some(machine_type) = view.machine_types.get(&machine.machine_type) {
+            let mut free = Resources::of_machine(machine_type);
+            for (job, _) in view.tasks_on(id).into_iter().flat_map(|tasks| tasks.keys()) {
+                free.subtract(&view.jobs[job].spec.resources);
             }
-            out.by_free_cpus.insert((free.cpus, id.clone()));
+            indexes.by_free_cpus.insert((free.cpus, id.clone()));
         }
     }
-    out
+    indexes
 }
 
-/// What the view keeps for look-ups equals what going through all jobs and machines gives. A plan that
-/// misses a machine or a job would leave it out without a word.
-pub fn indexed(v: &ClusterState) {
-    assert_eq!(*v.index(), index_afresh(v));
-    for (machine, tasks) in &v.tasks_by_machine {
-        let mut load = MachineUsage::default();
+/// Asserts that the indexes of the cluster state equal those computed from all jobs and machines: the scheduler
+/// would silently leave out a machine or a job that an index misses.
+pub fn indexed(view: &ClusterState) {
+    assert_eq!(*view.index(), recompute_indexes(view));
+    for (machine, tasks) in &view.tasks_by_machine {
+        let mut usage = MachineUsage::default();
         for (job, _) in tasks.keys() {
-            load.add(&v.jobs[job].spec);
+            usage.add(&view.jobs[job].spec);
         }
-        assert_eq!(v.usage(machine), load, "{machine}");
+        assert_eq!(view.usage(machine), usage, "{machine}");
     }
 }
