--- a/src/membership/peer_heartbeats.rs
+++ b/src/membership/peer_heartbeats.rs
@@ -11,7 +11,7 @@
 use crate::controller::Controller;
 use crate::settings::Peer;
 use crate::time::{Micros, SECOND};
-use crate::wire::peer::{CancellationDigest, PEER, PeerHeartbeat, pack, unpack};
+use crate::wire::peer::{CancellationDigest, PEER_HEARTBEAT_PATH, PeerHeartbeat, pack, unpack};
 use crate::wire::server::Response;
 use http_types::Method;
 use std::rc::Rc;
@@ -45,7 +45,13 @@
         let asked_at = self.clock.now();
         let response = self
             .http
-            .call(peer.address, Method::Post, PEER, body, CALL_TIMEOUT)
+            .call(
+                peer.address,
+                Method::Post,
+                PEER_HEARTBEAT_PATH,
+                body,
+                CALL_TIMEOUT,
+            )
             .await;
         match response
             .ok()
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -2,7 +2,7 @@
 //! and writes. It keeps nothing of what it reads.
 
 use super::token_bucket::TokenBucket;
-use crate::time::{Clock, MILLI, Micros, SECOND, dur};
+use crate::time::{Clock, MILLI, Micros, SECOND, to_duration};
 use crate::wire::client::{Client, ClientResponse};
 use crate::wire::state::{self, Lease, LeaseRequest, Page, Revision, Transaction, WatchResponse};
 use crate::wire::{WireError, decode, encode};
@@ -98,7 +98,7 @@
             delay = delay.max(self.writes.borrow_mut().take(writes as f64, now));
         }
         if delay > 0 {
-            Timer::after(dur(delay)).await;
+            Timer::after(to_duration(delay)).await;
         }
     }
 
@@ -146,7 +146,12 @@
             tracing::debug!(mutations = transaction.kinds(), "transaction sent");
         }
         let body = Some(encode(transaction));
-        let call = self.call(Method::Post, state::TXN, body, TRANSACTION_TIMEOUT);
+        let call = self.call(
+            Method::Post,
+            state::TRANSACTION_PATH,
+            body,
+            TRANSACTION_TIMEOUT,
+        );
         match call.await {
             Ok(response) => transaction_outcome(transaction, &response),
             Err(_) => TransactionOutcome::Unknown,
@@ -219,7 +224,7 @@
         let body = encode(&LeaseRequest {
             ttl_ms: time_to_live / MILLI,
         });
-        let call = self.call(Method::Post, state::LEASES, Some(body), LEASE_TIMEOUT);
+        let call = self.call(Method::Post, state::LEASES_PATH, Some(body), LEASE_TIMEOUT);
         Ok(call.await?.ok::<Lease>()?.id)
     }
 
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -18,7 +18,7 @@
 use super::cluster_state::ClusterState;
 use super::keys;
 use crate::ids::MachineId;
-use crate::time::{Clock, MILLI, Micros, SECOND, dur};
+use crate::time::{Clock, MILLI, Micros, SECOND, to_duration};
 use crate::wire::WireError;
 use crate::wire::state::{Event, Mutation, Transaction, WatchResponse};
 use async_io::Timer;
@@ -73,7 +73,7 @@
 }
 
 async fn sleep(duration: Micros) {
-    Timer::after(dur(duration)).await;
+    Timer::after(to_duration(duration)).await;
 }
 
 impl WatchCache {
--- a/src/workers/command_dispatch.rs
+++ b/src/workers/command_dispatch.rs
@@ -16,7 +16,7 @@
 use crate::store::cluster_state::ClusterState;
 use crate::time::{Micros, SECOND};
 use crate::wire::client::ClientResponse;
-use crate::wire::worker::{Command, CommandBatch, Heartbeat, ORDERS};
+use crate::wire::worker::{COMMANDS_PATH, Command, CommandBatch, Heartbeat};
 use crate::wire::{WireError, decode, encode};
 use foldhash::HashSet;
 use http_types::Method;
@@ -200,7 +200,13 @@
         };
         let reply = self
             .http
-            .call(call.address, Method::Post, ORDERS, Some(body), timeout)
+            .call(
+                call.address,
+                Method::Post,
+                COMMANDS_PATH,
+                Some(body),
+                timeout,
+            )
             .await;
         let now = self.clock.now();
         if self.apply_reply(&call, reply, now) {
--- a/src/workers/heartbeat_handler.rs
+++ b/src/workers/heartbeat_handler.rs
@@ -69,7 +69,7 @@
         let (outcome, commands) = self.apply_periodic(&view, &machine, term, &heartbeat, now);
         let changed = outcome.changed;
         self.record_task_outcomes(&machine, outcome, now);
-        self.first(StartupMilestone::Heartbeat);
+        self.record_milestone(StartupMilestone::Heartbeat);
         self.note_first_start(&commands);
         if changed || !view.machines.contains_key(&machine) {
             self.workers.changed.borrow_mut().insert(machine);
@@ -141,7 +141,7 @@
     pub(super) fn note_first_start(&self, commands: &[Command]) {
         let is_start = |command: &Command| matches!(command, Command::Start { .. });
         if commands.iter().any(is_start) {
-            self.first(StartupMilestone::Start);
+            self.record_milestone(StartupMilestone::Start);
         }
     }
 }
