--- /dev/null
+++ b/src/autoscaler/demand.rs
@@ -0,0 +1,373 @@
+//! Demand: what the jobs need beyond the machines at hand. Services, gangs and arrays of high priority
+//! lack whole machines at once (`Shortfall`); batch work that can wait flows through a pool of machine
+//! types (`MachinePool`). Pure.
+
+use super::decision::CapacityForecast;
+use super::machine_pool::{BacklogWork, MachinePool, QuotaLimit};
+use crate::jobs::model::{JobId, JobSpec, Resources};
+use crate::quota;
+use crate::scheduling;
+use crate::settings::ObjectiveKind;
+use crate::store::cluster_state::{ClusterState, Job};
+use crate::time::{Micros, SECOND};
+use crate::wire::cloud::MachineType;
+use crate::wire::user::{JobKind, Priority};
+use foldhash::{HashMap, HashMapExt};
+use std::collections::BTreeMap;
+
+/// A job bound to a zone asks for at least this part of a machine there, even where its work would
+/// fill less: work elsewhere in its pool never helps it.
+const ZONE_BOUND_MINIMUM: f64 = 0.2;
+/// Work that has waited for so long may also use machines that are cordoned.
+const OVERDUE: Micros = 45 * SECOND;
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// Tasks of one kind without a machine, and what would hold them.
+pub(super) struct Shortfall<'a> {
+    /// Machine types that can take them.
+    pub(super) types: Vec<&'a MachineType>,
+    /// Zones in which a machine helps; any if `None`.
+    pub(super) zones: Option<Vec<&'a str>>,
+    /// Whether spot machines will do.
+    pub(super) spot: bool,
+    /// Resources of one task.
+    pub(super) resources: Resources,
+    /// Tasks without a machine.
+    pub(super) tasks: u32,
+    /// Machines to provision; fractions of several shortfalls add up.
+    pub(super) machines: f64,
+}
+
+impl Shortfall<'_> {
+    /// Whether a machine in this zone helps.
+    pub(super) fn helps_in(&self, zone: &str) -> bool {
+        self.zones
+            .as_ref()
+            .is_none_or(|zones| zones.contains(&zone))
+    }
+}
+
+/// The demand of all jobs.
+pub(super) struct Demand<'a> {
+    /// What is lacking at once, in the order of jobs.
+    pub(super) shortfalls: Vec<Shortfall<'a>>,
+    /// Batch work, by the names of the machine types that can take it.
+    pub(super) pools: BTreeMap<Vec<&'a str>, MachinePool<'a>>,
+}
+
+/// One job's part in the demand.
+struct JobDemand<'a> {
+    job: &'a Job,
+    spec: &'a JobSpec,
+    types: Vec<&'a MachineType>,
+    /// Tasks of it that fill a machine of the largest type.
+    tasks_per_machine: f64,
+    /// Tasks for which the forecast found no machine.
+    unplaced: u32,
+    /// Tasks that wait, those of pipeline steps that may start soon included.
+    queued: u32,
+    /// Of these, tasks that the team's quota lets start.
+    within_quota: u32,
+}
+
+impl<'a> JobDemand<'a> {
+    /// Machines for the tasks without one.
+    fn unplaced_machines(&self) -> f64 {
+        f64::from(self.unplaced) / self.tasks_per_machine
+    }
+
+    /// Machines for the tasks that wait.
+    fn waiting_machines(&self) -> f64 {
+        f64::from(self.within_quota) / self.tasks_per_machine
+    }
+
+    /// Machine seconds left: running tasks are half done on average.
+    fn work_s(&self) -> f64 {
+        let run_time_s = self.spec.estimated_run_time.max(SECOND) as f64 / MICROS_PER_SECOND;
+        let tasks = f64::from(self.queued) + f64::from(self.job.placed) / 2.0;
+        tasks * run_time_s / self.tasks_per_machine
+    }
+
+    /// The zones in which a machine helps the job now, if not all do: its only one, the one where the
+    /// rest of it runs, or those where it may have more tasks.
+    fn zones(&self, view: &'a ClusterState) -> Option<Vec<&'a str>> {
+        let spec = self.spec;
+        let tied_to_placed = spec.single_zone && self.job.placed > 0;
+        if spec.zone.is_none() && !spec.zone_spread && !tied_to_placed {
+            return None;
+        }
+        let mut zones: Vec<&str> = self
+            .types
+            .iter()
+            .flat_map(|machine_type| &machine_type.zones)
+            .map(String::as_str)
+            .collect();
+        zones.sort_unstable();
+        zones.dedup();
+        let all = zones.len();
+        scheduling::retain_open_zones(view, self.job, &mut zones);
+        (zones.len() < all).then_some(zones)
+    }
+
+    fn shortfall(
+        &self,
+        forecast: &CapacityForecast<'_>,
+        zones: Option<Vec<&'a str>>,
+        tasks: u32,
+        machines: f64,
+    ) -> Shortfall<'a> {
+        Shortfall {
+            types: self.types.clone(),
+            zones,
+            spot: self.spec.allow_spot && forecast.policy.use_spot,
+            resources: self.spec.resources,
+            tasks,
+            machines,
+        }
+    }
+}
+
+/// Adds up the demand of all jobs.
+pub(super) fn collect<'a>(forecast: &CapacityForecast<'a>) -> Demand<'a> {
+    let view = forecast.view;
+    let unplaced: HashMap<&str, u32> = forecast
+        .schedule
+        .unplaced
+        .iter()
+        .map(|(id, tasks)| (&**id, *tasks))
+        .collect();
+    let service_use = resources_of_services(view);
+    let mut demand = Demand {
+        shortfalls: Vec::new(),
+        pools: BTreeMap::new(),
+    };
+    for (id, job) in &view.jobs {
+        let unplaced = unplaced.get(&**id).copied().unwrap_or(0);
+        let Some(job) = job_demand(forecast, id, job, unplaced) else {
+            continue;
+        };
+        let spec = job.spec;
+        if spec.kind == JobKind::Service || spec.priority <= Priority::High {
+            let zones = job.zones(view);
+            let machines = job.unplaced_machines();
+            demand
+                .shortfalls
+                .push(job.shortfall(forecast, zones, unplaced, machines));
+        } else if spec.allow_spot && !scheduling::may_use_spot(job.job) {
+            demand.add_on_demand_gang(forecast, &job);
+        } else {
+            let starved = forecast.schedule.starved.get(id).copied().unwrap_or(0);
+            let team_use = service_use.get(&*spec.team).copied().unwrap_or_default();
+            demand.add_batch(forecast, &job, starved, &team_use);
+        }
+    }
+    demand
+}
+
+/// What each team's services use of its quota, or wait for: it is not there for the team's batch work.
+fn resources_of_services(view: &ClusterState) -> HashMap<&str, Resources> {
+    let mut by_team: HashMap<&str, Resources> = HashMap::new();
+    for job in view.jobs.values() {
+        if job.spec.kind == JobKind::Service {
+            let tasks = i64::from(job.placed + job.queued());
+            by_team
+                .entry(&job.spec.team)
+                .or_default()
+                .add(&job.spec.resources.for_tasks(tasks));
+        }
+    }
+    by_team
+}
+
+/// A job's part in the demand; `None` if it has none, or if no machine type can take it.
+fn job_demand<'a>(
+    forecast: &CapacityForecast<'a>,
+    id: &JobId,
+    job: &'a Job,
+    unplaced: u32,
+) -> Option<JobDemand<'a>> {
+    let view = forecast.view;
+    let spec: &JobSpec = &job.spec;
+    // The next steps of a pipeline count once those before them are about to end.
+    let queued = view.queued_or_blocked(job);
+    let within_quota = queued.saturating_sub(forecast.schedule.limited(id));
+    let placed_service = spec.kind == JobKind::Service && unplaced == 0;
+    if queued + job.placed == 0 || job.cancelled() || placed_service {
+        return None;
+    }
+    let types = candidate_types(view, spec);
+    let tasks_per_machine = types
+        .iter()
+        .map(|machine_type| Resources::of_machine(machine_type).count_fitting(&spec.resources))
+        .max()?;
+    Some(JobDemand {
+        job,
+        spec,
+        types,
+        tasks_per_machine: tasks_per_machine.max(1) as f64,
+        unplaced,
+        queued,
+        within_quota,
+    })
+}
+
+/// Machine types on which a job's tasks fit and may run.
+fn candidate_types<'a>(view: &'a ClusterState, spec: &JobSpec) -> Vec<&'a MachineType> {
+    let mut types: Vec<&MachineType> = view
+        .machine_types
+        .values()
+        .filter(|machine_type| {
+            spec.machine_types
+                .as_ref()
+                .is_none_or(|names| names.contains(&machine_type.name))
+                && Resources::of_machine(machine_type).fits(&spec.resources)
+        })
+        .collect();
+    // Machines with GPUs cost several times as much: not for tasks that can do without.
+    if spec.resources.gpus == 0 && types.iter().any(|machine_type| machine_type.gpus == 0.0) {
+        types.retain(|machine_type| machine_type.gpus == 0.0);
+    }
+    types
+}
+
+impl<'a> Demand<'a> {
+    /// The pool of the machine types that can take a job.
+    fn pool(&mut self, job: &JobDemand<'a>) -> &mut MachinePool<'a> {
+        let names: Vec<&str> = job.types.iter().map(|t| t.name.as_str()).collect();
+        self.pools
+            .entry(names)
+            .or_insert_with(|| MachinePool::new(job.types.clone()))
+    }
+
+    /// A gang that lost too much on spot machines and now waits for on-demand ones.
+    fn add_on_demand_gang(&mut self, forecast: &CapacityForecast<'a>, job: &JobDemand<'a>) {
+        let pool = self.pool(job);
+        pool.waiting_machines += job.waiting_machines();
+        pool.on_demand_gang_machines += job.waiting_machines();
+        pool.all_allow_spot = false;
+        // The forecast places a whole gang or none of it, so what is free counts here.
+        let need = &job.spec.resources;
+        let free: i64 = forecast
+            .view
+            .machines
+            .iter()
+            .filter(|(_, record)| !record.spot && pool.has_type(record))
+            .filter_map(|(id, _)| forecast.schedule.free_resources.get(id))
+            // Backfill tasks leave on request: where GPUs are needed only GPUs count.
+            .map(|free| match need.gpus {
+                0 => free.count_fitting(need),
+                gpus => free.gpus / gpus,
+            })
+            .sum();
+        let lacking = i64::from(job.unplaced) - free;
+        if lacking > 0 {
+            let zones = (job.unplaced > 0)
+                .then(|| job.zones(forecast.view))
+                .flatten();
+            self.shortfalls.push(Shortfall {
+                spot: false,
+                ..job.shortfall(
+                    forecast,
+                    zones,
+                    lacking as u32,
+                    lacking as f64 / job.tasks_per_machine,
+                )
+            });
+        }
+    }
+
+    /// Batch work of normal or low priority. `starved` of its tasks are within the minimum share of
+    /// their class; `team_use` is what the team's services use of its quota.
+    fn add_batch(
+        &mut self,
+        forecast: &CapacityForecast<'a>,
+        job: &JobDemand<'a>,
+        starved: u32,
+        team_use: &Resources,
+    ) {
+        let spec = job.spec;
+        let zones = (job.unplaced > 0)
+            .then(|| job.zones(forecast.view))
+            .flatten();
+        // A minimum share is due now, and the flow does not say whether the machines at hand have room in
+        // one piece: tasks that take most of a machine never find any where small ones run.
+        if starved > 0 {
+            let machines = f64::from(starved) / job.tasks_per_machine;
+            self.shortfalls
+                .push(job.shortfall(forecast, zones.clone(), starved, machines));
+        }
+        let horizon_s = horizon(forecast, spec) as f64 / MICROS_PER_SECOND;
+        let waited = forecast.wall_clock.saturating_sub(job.job.waiting_since);
+        let pool = self.pool(job);
+        pool.backlog.push(BacklogWork {
+            priority: spec.priority,
+            horizon_s,
+            work_s: job.work_s(),
+            quota: quota::at_once(forecast.teams, spec, team_use).map(|tasks| QuotaLimit {
+                team: &spec.team,
+                machines: tasks as f64 / job.tasks_per_machine,
+            }),
+        });
+        if job.unplaced > 0 && waited > OVERDUE {
+            pool.overdue_machines += job.unplaced_machines();
+        }
+        // Throughput in other zones is no help to a job bound to a zone, and what the pool buys comes
+        // where it is cheapest: without a shortfall of its own such a job could wait for good.
+        if zones.is_some() {
+            pool.zone_bound_tasks += job.unplaced;
+            let due = job.work_s() / horizon_s;
+            let machines = job.unplaced_machines().min(due.max(ZONE_BOUND_MINIMUM));
+            self.shortfalls
+                .push(job.shortfall(forecast, zones, job.unplaced, machines));
+            return;
+        }
+        pool.add_in_any_zone(job);
+    }
+}
+
+impl<'a> MachinePool<'a> {
+    /// A job that no zone binds: what the pool buys helps it wherever it comes.
+    fn add_in_any_zone(&mut self, job: &JobDemand<'a>) {
+        let spec = job.spec;
+        self.unplaced_machines += job.unplaced_machines();
+        self.waiting_machines += job.waiting_machines();
+        if spec.kind == JobKind::Gang {
+            let gang_machines = f64::from(spec.task_count) / job.tasks_per_machine;
+            self.largest_gang_machines = self.largest_gang_machines.max(gang_machines);
+        }
+        self.all_allow_spot &= spec.allow_spot && spec.zone.is_none();
+        self.resources = spec.resources;
+        if job.unplaced > 0 {
+            self.allow_spot &= spec.allow_spot;
+            self.unplaced_tasks += job.unplaced;
+        }
+    }
+}
+
+/// The time in which a job's backlog should drain: a share of the tightest objective of its class, or
+/// the default of its priority.
+fn horizon(forecast: &CapacityForecast<'_>, spec: &JobSpec) -> Micros {
+    let policy = forecast.policy;
+    let wait_share = match spec.kind {
+        JobKind::Gang => policy.gang_wait_share,
+        _ => policy.wait_share,
+    };
+    let default = match spec.priority {
+        Priority::Low => policy.drain_low,
+        _ => policy.drain_normal,
+    };
+    forecast
+        .objectives
+        .iter()
+        .filter(|objective| objective.class == spec.class)
+        .filter_map(|objective| match objective.kind {
+            ObjectiveKind::Finished => {
+                Some((objective.within as f64 * policy.finish_share) as Micros)
+            }
+            ObjectiveKind::Wait => Some((objective.within as f64 * wait_share) as Micros),
+            ObjectiveKind::Deadline => None,
+        })
+        .min()
+        .unwrap_or(default)
+        .max(SECOND)
+}
--- a/src/autoscaler/model.rs
+++ b/src/autoscaler/model.rs
@@ -1,36 +1,38 @@
-//! Machines as the program keeps them.
+//! Stored records of the autoscaler: machines, scale-out requests, termination batches. Field names in the
+//! state service are the short ones of `serde`.
 
 use crate::ids::MachineId;
 use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What is wanted of a machine.
+/// Desired state of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachineState {
-    /// Rented or listed; its worker has not reported yet.
+    /// Provisioned or listed; its worker has sent no heartbeat yet.
     #[serde(rename = "b")]
     Booting,
     /// Takes tasks.
     #[serde(rename = "u")]
     Up,
-    /// About to be taken by the cloud: what can save is stopped, nothing new starts.
+    /// Preemption notice received from the cloud: tasks that can write a checkpoint are stopped, nothing new
+    /// starts.
     #[serde(rename = "d")]
     Draining,
-    /// More than the work needs: nothing new starts, and it is returned once empty.
+    /// Cordoned, since the work needs fewer machines: nothing new starts, and it is terminated once empty.
     #[serde(rename = "c")]
     Closing,
-    /// Fails or slows its tasks: nothing new starts.
+    /// Its tasks fail or are slow: nothing new starts, and it is terminated once empty.
     #[serde(rename = "k")]
     Quarantined,
-    /// Silent: to be returned with all that is on it.
+    /// Declared dead: to be terminated with all that runs on it.
     #[serde(rename = "l")]
     Lost,
-    /// Being returned; never taken back.
+    /// Being terminated; final.
     #[serde(rename = "r")]
     Returning,
 }
 
-/// A machine. Its key is deleted only once nothing can be on it any more.
+/// A machine. Its record is deleted only once nothing can run on it any more.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
     /// Machine type.
@@ -39,26 +41,26 @@
     /// Zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Spot.
+    /// Whether it is a spot machine, not an on-demand one.
     #[serde(rename = "p")]
     pub spot: bool,
-    /// Worker's address, once known.
+    /// Address of its worker, once known.
     #[serde(rename = "a")]
     pub address: Option<String>,
-    /// Worker's session; 0 until it reported.
+    /// Session (agent epoch) of its worker; 0 until the first heartbeat.
     #[serde(rename = "s")]
     pub session: u64,
-    /// What is wanted of it.
+    /// Desired state.
     #[serde(rename = "st")]
     pub state: MachineState,
-    /// Time of day of the rental, or when it was first seen.
+    /// Wall-clock time at which it was provisioned, or first seen.
     #[serde(rename = "r")]
     pub rented_at: Micros,
 }
 
-/// Machines of one kind: a rental about to be made (the request's name is written before the
-/// request), and then the machines that came of it, or that were found in the cloud's list. It stays
-/// until each of them has a key of its own, or was returned.
+/// A request for machines of one kind. It is written before it is sent, so that its name is known to every
+/// leader; the cloud's answer adds the machines. Machines found in the cloud's list are written as an
+/// answered request. It stays until each of its machines has a record of its own, or is gone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScaleOutRequest {
     /// Machine type.
@@ -67,22 +69,22 @@
     /// Zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Spot.
+    /// Whether it is a spot machine, not an on-demand one.
     #[serde(rename = "p")]
     pub spot: bool,
-    /// How many are asked for.
+    /// How many machines are requested.
     #[serde(rename = "n")]
     pub count: u32,
-    /// Time of day.
+    /// Wall-clock time of the request.
     #[serde(rename = "at")]
     pub requested_at: Micros,
-    /// The machines, once known.
+    /// The machines, once the cloud has answered.
     #[serde(rename = "m", default)]
     pub machines: Vec<String>,
 }
 
 impl ScaleOutRequest {
-    /// A machine of it of which nothing else is known.
+    /// The record of one of its machines that has no record of its own yet.
     pub fn machine(&self) -> MachineRecord {
         MachineRecord {
             machine_type: self.machine_type.clone(),
@@ -101,18 +103,18 @@
     }
 }
 
-/// Machines on their way back to the cloud, marked with one write. Where a key names a machine, that
-/// overrides the machine's own key.
+/// Machines to terminate, marked with one write. Where a batch names a machine, that overrides the machine's
+/// own record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TerminationBatch {
     /// The machines.
     #[serde(rename = "m")]
     pub machines: Vec<MachineId>,
-    /// The cloud has answered 200: they are gone with all that was on them. Their keys are deleted when
-    /// writes are to spare, and then this one.
+    /// The cloud has answered 200: they are gone with all that ran on them. Their records are deleted when
+    /// writes can be spared, and then the batch.
     #[serde(rename = "g", default)]
     pub terminated: bool,
-    /// They were given up: they go with all that is on them, and not only while they are empty.
+    /// They were declared dead: they are terminated with all that runs on them, not only while empty.
     #[serde(rename = "l", default, skip_serializing_if = "std::ops::Not::not")]
     pub declared_dead: bool,
 }
--- /dev/null
+++ b/src/autoscaler/reconciler/machine_list.rs
@@ -0,0 +1,208 @@
+//! Reconciliation with the cloud's machine list: machines that failed or disappeared are declared lost,
+//! machines without a record are adopted. The list lags and may go back in time.
+
+use super::{CLOUD_TIMEOUT, LeaderState};
+use crate::autoscaler::model::{MachineRecord, MachineState, ScaleOutRequest};
+use crate::autoscaler::put_machine;
+use crate::autoscaler::scale_out::InstanceKind;
+use crate::controller::Controller;
+use crate::ids::MachineId;
+use crate::store::cluster_state::ClusterState;
+use crate::store::keys;
+use crate::time::{Micros, SECOND, from_secs, wall};
+use crate::wire::WireError;
+use crate::wire::cloud::{HOSTS, ListedMachine, ListedStatus, Page};
+use crate::wire::state::Transaction;
+use foldhash::HashMap;
+use http_types::Method;
+use std::collections::BTreeMap;
+
+/// A booting machine is lost once so many lists in a row lack it.
+const LISTS_WITHOUT_MACHINE: u32 = 3;
+/// Added to three times the list's lag: the age from which a list must show a machine.
+const LIST_GRACE: Micros = 10 * SECOND;
+
+/// Machines of the list by their names.
+type MachineList = BTreeMap<String, ListedMachine>;
+
+/// A listed machine without a record.
+struct UnknownMachine {
+    name: String,
+    /// Wall-clock time, by the age that the list gives.
+    provisioned_at: Micros,
+}
+
+impl Controller {
+    /// Reads the list and writes what it changes.
+    pub(super) async fn reconcile_with_machine_list(&self, state: &mut LeaderState) {
+        let requested_at = wall();
+        let list = match self.read_machine_list().await {
+            Ok(list) => list,
+            Err(error) => {
+                tracing::info!(%error, "cloud did not answer the request for the machine list");
+                return;
+            }
+        };
+        let settled_after = self.settings.list_lag * 3 + LIST_GRACE;
+        state
+            .terminated_at
+            .retain(|_, at| requested_at.saturating_sub(*at) < settled_after);
+        let (lost, unknown) = {
+            let view = self.watch_cache.view();
+            let mut lost = failed_machines(&view, &list, &state.terminated_at);
+            lost.extend(unlisted_machines(
+                &view,
+                &list,
+                &mut state.times_unlisted,
+                |record| requested_at.saturating_sub(record.rented_at) >= settled_after,
+            ));
+            let unknown = unknown_machines(&view, &list, &state.terminated_at, requested_at);
+            (lost, unknown)
+        };
+        self.adopt_unknown_machines(unknown, requested_at).await;
+        self.write_lost_machines(&lost).await;
+    }
+
+    /// All pages of the list.
+    async fn read_machine_list(&self) -> Result<MachineList, WireError> {
+        let mut list = MachineList::new();
+        let mut after = String::new();
+        loop {
+            let path = format!("{HOSTS}?after={after}&most=500");
+            let answer = self
+                .http
+                .call(self.settings.cloud, Method::Get, &path, None, CLOUD_TIMEOUT)
+                .await;
+            let page = answer.and_then(|answer| answer.ok::<Page>())?;
+            let Some(last) = page.machines.last().map(|machine| machine.id.clone()) else {
+                return Ok(list);
+            };
+            let more = page.more && last > after;
+            after = last;
+            list.extend(
+                page.machines
+                    .into_iter()
+                    .map(|machine| (machine.id.clone(), machine)),
+            );
+            if !more {
+                return Ok(list);
+            }
+        }
+    }
+
+    /// Writes machines without a record as answered scale-out requests, many with one write: they are paid
+    /// for, so they are used.
+    async fn adopt_unknown_machines(
+        &self,
+        unknown: BTreeMap<InstanceKind, Vec<UnknownMachine>>,
+        requested_at: Micros,
+    ) {
+        for (kind, machines) in unknown {
+            for chunk in machines.chunks(self.machines_per_request()) {
+                let newest = chunk.iter().map(|machine| machine.provisioned_at).max();
+                let request = ScaleOutRequest {
+                    machine_type: kind.machine_type.clone(),
+                    zone: kind.zone.clone(),
+                    spot: kind.spot,
+                    count: chunk.len() as u32,
+                    requested_at: newest.unwrap_or(requested_at),
+                    machines: chunk.iter().map(|machine| machine.name.clone()).collect(),
+                };
+                let name = self.cloud_request_name();
+                self.write_scale_out_request(&name, &request).await;
+            }
+        }
+    }
+
+    async fn write_lost_machines(&self, lost: &[(MachineId, MachineRecord)]) {
+        for chunk in lost.chunks(self.state_limits().max_mutations) {
+            let mut transaction = Transaction::default();
+            {
+                let view = self.watch_cache.view();
+                for (id, record) in chunk {
+                    put_machine(&mut transaction, &view, id, record);
+                }
+            }
+            if !transaction.mutations.is_empty() {
+                self.watch_cache.transaction(&transaction).await;
+            }
+        }
+    }
+}
+
+fn lost(record: &MachineRecord) -> MachineRecord {
+    MachineRecord {
+        state: MachineState::Lost,
+        ..record.clone()
+    }
+}
+
+/// Machines that the list says have failed.
+fn failed_machines(
+    view: &ClusterState,
+    list: &MachineList,
+    terminated_at: &HashMap<String, Micros>,
+) -> Vec<(MachineId, MachineRecord)> {
+    list.iter()
+        .filter(|(name, listed)| {
+            listed.status == ListedStatus::Failed && !terminated_at.contains_key(*name)
+        })
+        .filter_map(|(name, _)| view.machines.get_key_value(name.as_str()))
+        .filter(|(_, record)| !matches!(record.state, MachineState::Lost | MachineState::Returning))
+        .map(|(id, record)| (id.clone(), lost(record)))
+        .collect()
+}
+
+/// Machines that were taken while they booted: no heartbeat would ever tell. They are declared lost and
+/// then terminated, which proves that they are gone. As the list may go back, a machine must be old enough
+/// (`must_be_listed`) and missing several times.
+fn unlisted_machines(
+    view: &ClusterState,
+    list: &MachineList,
+    times_unlisted: &mut HashMap<MachineId, u32>,
+    must_be_listed: impl Fn(&MachineRecord) -> bool,
+) -> Vec<(MachineId, MachineRecord)> {
+    let mut unlisted = Vec::new();
+    for (id, record) in &view.machines {
+        let booting = record.state == MachineState::Booting;
+        if list.contains_key(&**id) || !booting || !must_be_listed(record) {
+            times_unlisted.remove(id);
+            continue;
+        }
+        let times = times_unlisted.entry(id.clone()).or_default();
+        *times += 1;
+        if *times >= LISTS_WITHOUT_MACHINE {
+            unlisted.push((id.clone(), lost(record)));
+        }
+    }
+    unlisted
+}
+
+/// Listed machines without a record, by kind. Those whose record was deleted are gone, whatever a list
+/// that lags says.
+fn unknown_machines(
+    view: &ClusterState,
+    list: &MachineList,
+    terminated_at: &HashMap<String, Micros>,
+    requested_at: Micros,
+) -> BTreeMap<InstanceKind, Vec<UnknownMachine>> {
+    let mut unknown: BTreeMap<InstanceKind, Vec<UnknownMachine>> = BTreeMap::new();
+    for (name, listed) in list {
+        if terminated_at.contains_key(name)
+            || view.machines.contains_key(name.as_str())
+            || view.deleted(&keys::machine(name))
+        {
+            continue;
+        }
+        let kind = InstanceKind {
+            machine_type: listed.machine_type.clone(),
+            zone: listed.zone.clone(),
+            spot: listed.spot,
+        };
+        unknown.entry(kind).or_default().push(UnknownMachine {
+            name: name.clone(),
+            provisioned_at: requested_at.saturating_sub(from_secs(listed.age_s)),
+        });
+    }
+    unknown
+}
--- /dev/null
+++ b/src/autoscaler/reconciler/machine_types.rs
@@ -0,0 +1,67 @@
+//! Machine types that the cloud offers, kept in the state service for every controller.
+
+use super::CLOUD_TIMEOUT;
+use crate::controller::Controller;
+use crate::store::keys;
+use crate::wire::cloud::{MachineType, MachineTypes, TYPES};
+use crate::wire::state::{Mutation, Transaction};
+use crate::wire::{encode, json_size, to_value};
+use http_types::Method;
+
+impl Controller {
+    /// Reads the cloud's machine types and writes them if they changed.
+    pub(super) async fn refresh_machine_types(&self) {
+        let answer = self
+            .http
+            .call(self.settings.cloud, Method::Get, TYPES, None, CLOUD_TIMEOUT)
+            .await;
+        let answer = match answer.and_then(|answer| answer.ok::<MachineTypes>()) {
+            Ok(answer) => answer,
+            Err(error) => {
+                tracing::info!(%error, "cloud did not answer the request for machine types");
+                return;
+            }
+        };
+        let stored: Vec<MachineType> = self
+            .watch_cache
+            .view()
+            .machine_types
+            .values()
+            .cloned()
+            .collect();
+        let mut offered = answer.machine_types;
+        offered.sort_by(|a, b| a.name.cmp(&b.name));
+        if encode(&stored) == encode(&offered) || offered.is_empty() {
+            return;
+        }
+        let max_mutations = self.state_limits().max_mutations;
+        let mutations = match json_size(&offered) > self.value_limit() {
+            true => changed_types(&stored, &offered),
+            false => vec![Mutation::Put {
+                key: keys::TYPES.into(),
+                value: to_value(&offered),
+                lease: None,
+            }],
+        };
+        for chunk in mutations.chunks(max_mutations) {
+            let transaction = Transaction {
+                preconditions: Vec::new(),
+                mutations: chunk.to_vec(),
+            };
+            self.watch_cache.transaction(&transaction).await;
+        }
+    }
+}
+
+/// Each type that changed in a value of its own, where all do not fit into one.
+fn changed_types(stored: &[MachineType], offered: &[MachineType]) -> Vec<Mutation> {
+    offered
+        .iter()
+        .filter(|new| !stored.iter().any(|old| encode(old) == encode(new)))
+        .map(|new| Mutation::Put {
+            key: keys::machine_type(&new.name),
+            value: to_value(new),
+            lease: None,
+        })
+        .collect()
+}
--- a/src/workers/drive.rs
+++ b/src/workers/drive.rs
@@ -5,7 +5,9 @@
     many_inbound_partitions, newest_heartbeat, quarantined, reported_state, sent_to,
 };
 use crate::autoscaler::model::{MachineRecord, MachineState};
-use crate::autoscaler::{UP_MAX, UP_TOLD, declare_dead, put_machine};
+use crate::autoscaler::{
+    MAX_READY_WRITE_DELAY, MAX_READY_WRITE_DELAY_PEERS_AWARE, declare_dead, put_machine,
+};
 use crate::controller::{Controller, StartupMilestone};
 use crate::ids::MachineId;
 use crate::jobs::model::JobId;
@@ -354,7 +356,9 @@
             // A key that was deleted belonged to a machine that was returned and is gone, however
             // lately it was heard: written again, it would get tasks that never start.
             let returned = self.watch_cache.view().deleted(&keys::machine(id));
-            let known = m.fenced.is_some_and(|f| now.saturating_sub(f) > UP_MAX);
+            let known = m
+                .fenced
+                .is_some_and(|f| now.saturating_sub(f) > MAX_READY_WRITE_DELAY);
             if returned
                 || !m.fenced()
                 || !known
@@ -456,8 +460,8 @@
             };
             let untold = machines.keys().filter(|id| boots(id)).count();
             let wait = match view.layout.is_some() && untold <= READY_MOST {
-                true => UP_TOLD,
-                false => UP_MAX,
+                true => MAX_READY_WRITE_DELAY_PEERS_AWARE,
+                false => MAX_READY_WRITE_DELAY,
             };
             let busy = self.workers.machines_being_written.borrow();
             for (id, m) in machines.iter() {
--- a/tests/large_clusters.rs
+++ b/tests/large_clusters.rs
@@ -6,7 +6,7 @@
 use common::{LIMITS, machine_type as kind};
 use coppergw::autoscaler::model::{MachineRecord, MachineState, ScaleOutRequest, TerminationBatch};
 use coppergw::autoscaler::reconciler::forget_gone;
-use coppergw::autoscaler::{UP_MAX, declare_dead, not_expected};
+use coppergw::autoscaler::{MAX_READY_WRITE_DELAY, declare_dead, not_expected};
 use coppergw::ids::MachineId;
 use coppergw::jobs::commit::{JobChange, stage};
 use coppergw::jobs::model::{JobId, JobRecord, JobSpec, Resources, TaskBlock, TaskState};
@@ -483,7 +483,7 @@
     for n in &names {
         w.put(keys::machine(n), to_value(&boots));
     }
-    let at = SECOND + ready * 2 + UP_MAX;
+    let at = SECOND + ready * 2 + MAX_READY_WRITE_DELAY;
     assert!(
         not_expected(&w.view, at, &|_| false).is_empty(),
         "all are late"
