--- a/src/fairness/minimum_share/tests.rs
+++ b/src/fairness/minimum_share/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of `fairness/floor.rs` that need its private parts.
+//! Tests of `fairness/minimum_share.rs` that need its private parts.
 
 use super::*;
 use proptest::prelude::*;
 
-fn class(rank: Priority, waiting: i64, running: i64, overdue: bool) -> ClassDemand {
+fn class(priority: Priority, waiting: i64, running: i64, overdue: bool) -> ClassDemand {
     ClassDemand {
-        rank,
+        priority,
         waiting,
         running,
-        time: 1.0,
+        mean_run_time_us: 1.0,
         overdue,
     }
 }
@@ -59,11 +59,11 @@
         let f = minimum_share(&list);
         let running: i64 = list.iter().map(|s| s.running).sum();
         prop_assert!(f.iter().sum::<i64>() as f64 <= running as f64 * SHARE);
-        let top = list.iter().map(|s| s.rank).min();
+        let top = list.iter().map(|s| s.priority).min();
         for (s, f) in list.iter().zip(&f) {
             prop_assert!(*f >= 0 && *f <= s.waiting);
-            prop_assert!(*f == 0 || (Some(s.rank) != top && s.overdue));
-            let behind = list.iter().any(|h| h.rank < s.rank && h.running > 10_000 && h.pending(1.0) < 1.0);
+            prop_assert!(*f == 0 || (Some(s.priority) != top && s.overdue));
+            let behind = list.iter().any(|h| h.priority < s.priority && h.running > 10_000 && h.pending(1.0) < 1.0);
             if s.overdue && s.waiting > 0 && s.running == 0 && behind {
                 prop_assert!(*f > 0, "{list:?}");
             }
--- a/src/fairness/service_levels.rs
+++ b/src/fairness/service_levels.rs
@@ -1,8 +1,8 @@
-//! What share of each class and team is served, from the state alone: jobs that ended are added up in one
-//! value, the others are counted as they stand.
+//! Service levels: what share of the jobs of each class and team is started and done. Jobs that ended are
+//! added up in one stored value, which the leader writes; jobs that are active are counted as they stand.
 
-use super::minimum_share::patience;
-use super::rounds::fitting;
+use super::minimum_share::overdue_after;
+use super::value_limit::fitting;
 use crate::settings::Objective;
 use crate::store::cluster_state::{ClusterState, Job};
 use crate::time::{Micros, SECOND};
@@ -16,74 +16,78 @@
     /// All of them.
     #[serde(rename = "a")]
     pub accepted: u64,
-    /// Of which a task was started.
+    /// Those of which a task was started.
     #[serde(rename = "s")]
     pub started: u64,
-    /// Done, and not withdrawn.
+    /// Those that were done, and not cancelled.
     #[serde(rename = "d")]
     pub done: u64,
 }
 
-/// The value that the leader writes: everything that ended up to a revision.
+/// Totals of all jobs that ended up to a revision: one stored value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLevels {
-    /// Revision up to which it counts.
+    /// Revision of the state service up to which ends are counted.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// By class and team, see `name`.
+    /// By class and team, see `class_and_team_key`.
     #[serde(rename = "e", default)]
     pub ended: BTreeMap<String, ClassTotals>,
 }
 
-/// One end of a job, as the view saw it.
+/// The end of one job, as the cluster state saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobEnd {
-    /// Revision at which its record went.
+    /// Revision at which its record was deleted.
     pub revision: u64,
-    /// Class and team, see `name`.
-    pub name: String,
+    /// Class and team, see `class_and_team_key`.
+    pub class_and_team: String,
     /// Whether a task was started.
     pub started: bool,
     /// Whether it was done.
     pub done: bool,
 }
 
-/// How class and team stand together in one key: a class holds any text, so the team comes first and its
-/// length says where it ends.
-pub fn name(class: &str, team: &str) -> String {
+/// Class and team as one key. A class may hold any text, so the team comes first, and before it its length
+/// in bytes says where it ends.
+pub fn class_and_team_key(class: &str, team: &str) -> String {
     format!("{}:{team}{class}", team.len())
 }
 
-/// Class and team of such a key.
-pub fn parse(name: &str) -> Option<(&str, &str)> {
-    let (n, rest) = name.split_once(':')?;
-    let n: usize = n.parse().ok()?;
-    Some((rest.get(n..)?, rest.get(..n)?))
+/// Class and team of such a key; `None` if it is not one.
+pub fn parse_class_and_team(key: &str) -> Option<(&str, &str)> {
+    let (team_bytes, team_and_class) = key.split_once(':')?;
+    let team_bytes: usize = team_bytes.parse().ok()?;
+    Some((
+        team_and_class.get(team_bytes..)?,
+        team_and_class.get(..team_bytes)?,
+    ))
 }
 
 impl ServiceLevels {
-    /// What it becomes with the ends after its revision. Nothing is counted twice, whichever leader adds
-    /// them up. What ended before a new leader had read the state, and no older one had added, is lost.
+    /// The value with the ends after its revision and up to `revision`, within `max_bytes`. Nothing is
+    /// counted twice, whichever leader adds it. Not counted is what ended before a new leader had loaded
+    /// the state and after the last one had written.
     pub fn with(
         &self,
         ends: impl Iterator<Item = JobEnd>,
-        rev: u64,
-        bytes: usize,
+        revision: u64,
+        max_bytes: usize,
     ) -> ServiceLevels {
-        let mut out = self.clone();
-        for e in ends.filter(|e| e.revision > self.revision && e.revision <= rev) {
-            let x = out.ended.entry(e.name).or_default();
-            x.accepted += 1;
-            x.started += u64::from(e.started);
-            x.done += u64::from(e.done);
+        let mut next = self.clone();
+        for end in ends.filter(|end| end.revision > self.revision && end.revision <= revision) {
+            let totals = next.ended.entry(end.class_and_team).or_default();
+            totals.accepted += 1;
+            totals.started += u64::from(end.started);
+            totals.done += u64::from(end.done);
         }
-        out.revision = rev;
-        out.ended = fitting(out.ended, bytes, &|_, x| x.accepted);
-        out
+        next.revision = revision;
+        next.ended = fitting(next.ended, max_bytes, &|_, totals| totals.accepted);
+        next
     }
 }
 
-/// What one class of one team came to.
+/// Service level of one class of one team.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ServiceLevelRow {
     /// Class.
@@ -100,83 +104,117 @@
     pub waiting: u64,
     /// How long the oldest of these has waited, in seconds.
     pub oldest_s: f64,
-    /// Jobs of which no task was started although it is time, by the aims of the class.
+    /// Jobs of which no task was started in time for the objectives of the class.
     pub overdue: u64,
 }
 
 /// Whether a task of a job was ever started.
-pub fn started(j: &Job) -> bool {
-    j.placed > 0 || j.done > 0 || j.slots().any(|(_, s)| s.attempt() > 0)
+pub fn started(job: &Job) -> bool {
+    job.placed > 0 || job.done > 0 || job.slots().any(|(_, task)| task.attempt() > 0)
 }
 
-/// All classes and teams. What waits for other jobs counts from when it may start.
-pub fn table(v: &ClusterState, objectives: &[Objective], wall: Micros) -> Vec<ServiceLevelRow> {
-    // With the ends that the value does not count yet.
-    let all = v
+/// Service levels of all classes and teams. A job that waits for its dependencies counts from when it may
+/// start.
+pub fn table(
+    view: &ClusterState,
+    objectives: &[Objective],
+    wall_clock: Micros,
+) -> Vec<ServiceLevelRow> {
+    // With the ends that the stored value does not count yet.
+    let levels = view
         .service_levels
-        .with(v.ends().cloned(), u64::MAX, usize::MAX);
+        .with(view.ends().cloned(), u64::MAX, usize::MAX);
     let mut rows: BTreeMap<(&str, &str), ServiceLevelRow> = BTreeMap::new();
-    for (key, e) in &all.ended {
-        if let Some(k) = parse(key) {
-            let r = rows.entry(k).or_default();
-            (r.accepted, r.started, r.done) = (e.accepted, e.started, e.done);
+    for (key, totals) in &levels.ended {
+        if let Some(class_and_team) = parse_class_and_team(key) {
+            let row = rows.entry(class_and_team).or_default();
+            (row.accepted, row.started, row.done) = (totals.accepted, totals.started, totals.done);
         }
     }
-    for j in v.jobs.values().filter(|j| j.ready && !j.cancelled()) {
-        let r = rows.entry((&j.spec.class, &j.spec.team)).or_default();
-        r.accepted += 1;
-        if started(j) {
-            r.started += 1;
+    for job in view.jobs.values() {
+        if !job.ready || job.cancelled() {
             continue;
         }
-        let age = wall.saturating_sub(j.waiting_since);
-        r.waiting += 1;
-        r.oldest_s = r.oldest_s.max(age as f64 / 1e6);
-        r.overdue += u64::from(age > patience(objectives, &j.spec.class));
+        let (class, team) = (&job.spec.class, &job.spec.team);
+        let row = rows.entry((class, team)).or_default();
+        row.accepted += 1;
+        if started(job) {
+            row.started += 1;
+            continue;
+        }
+        let waited = wall_clock.saturating_sub(job.waiting_since);
+        row.waiting += 1;
+        row.oldest_s = row.oldest_s.max(waited as f64 / 1e6);
+        row.overdue += u64::from(waited > overdue_after(objectives, class));
     }
     rows.into_iter()
-        .map(|((class, team), r)| ServiceLevelRow {
+        .map(|((class, team), row)| ServiceLevelRow {
             class: class.into(),
             team: team.into(),
-            ..r
+            ..row
         })
         .collect()
 }
 
-/// Less than half served for so long is said in the log.
-const TOLD_AFTER: Micros = 60 * SECOND;
+/// For so long less than half must have started in time before it is logged: shorter dips are common
+/// while machines are provisioned.
+const LOG_DELAY: Micros = 60 * SECOND;
+
+/// A class or team of which less than half started in time.
+struct MissedObjective {
+    /// Monotonic time.
+    since: Micros,
+    logged: bool,
+}
+
+/// Classes and teams of which less than half started in time. Owned by the leader's round.
+#[derive(Default)]
+pub struct ServiceLevelMonitor(HashMap<String, MissedObjective>);
 
-/// Since when each class and each team is below half, and whether that was said.
+/// Jobs of one class, or of one team.
 #[derive(Default)]
-pub struct ServiceLevelMonitor(HashMap<String, (Micros, bool)>);
+struct StartedInTime {
+    started: u64,
+    /// Those that started, and those that are overdue.
+    due: u64,
+}
+
+impl StartedInTime {
+    fn less_than_half(&self) -> bool {
+        2 * self.started < self.due
+    }
+}
 
 impl ServiceLevelMonitor {
-    /// Classes and teams of which less than half was started in time, for a minute now, and that were not
-    /// named before; with their shares.
+    /// Classes and teams of which less than half started in time for `LOG_DELAY`, each reported once,
+    /// and the share that started. `now` is monotonic.
     pub fn missed_objectives(
         &mut self,
         rows: &[ServiceLevelRow],
         now: Micros,
     ) -> Vec<(String, f64)> {
-        let mut sums: BTreeMap<String, (u64, u64)> = BTreeMap::new();
-        for r in rows {
-            for who in [format!("class {}", r.class), format!("team {}", r.team)] {
-                let s = sums.entry(who).or_default();
-                s.0 += r.started;
-                s.1 += r.started + r.overdue;
+        let mut scopes: BTreeMap<String, StartedInTime> = BTreeMap::new();
+        for row in rows {
+            for scope in [format!("class {}", row.class), format!("team {}", row.team)] {
+                let jobs = scopes.entry(scope).or_default();
+                jobs.started += row.started;
+                jobs.due += row.started + row.overdue;
             }
         }
-        let low = |s: &(u64, u64)| 2 * s.0 < s.1;
-        self.0.retain(|who, _| sums.get(who).is_some_and(low));
-        let mut out = Vec::new();
-        for (who, s) in sums.into_iter().filter(|(_, s)| low(s)) {
-            let w = self.0.entry(who.clone()).or_insert((now, false));
-            if !w.1 && now.saturating_sub(w.0) >= TOLD_AFTER {
-                w.1 = true;
-                out.push((who, s.0 as f64 / s.1 as f64));
+        scopes.retain(|_, jobs| jobs.less_than_half());
+        self.0.retain(|scope, _| scopes.contains_key(scope));
+        let mut newly_missed = Vec::new();
+        for (scope, jobs) in scopes {
+            let missed = self.0.entry(scope.clone()).or_insert(MissedObjective {
+                since: now,
+                logged: false,
+            });
+            if !missed.logged && now.saturating_sub(missed.since) >= LOG_DELAY {
+                missed.logged = true;
+                newly_missed.push((scope, jobs.started as f64 / jobs.due as f64));
             }
         }
-        out
+        newly_missed
     }
 }
 
--- a/src/fairness/service_levels/tests.rs
+++ b/src/fairness/service_levels/tests.rs
@@ -5,7 +5,7 @@
 fn end(rev: u64, done: bool) -> JobEnd {
     JobEnd {
         revision: rev,
-        name: name("c", "t"),
+        class_and_team: class_and_team_key("c", "t"),
         started: true,
         done,
     }
@@ -22,10 +22,13 @@
         started: 3,
         done: 2,
     };
-    assert_eq!(two.ended[&name("c", "t")], want);
+    assert_eq!(two.ended[&class_and_team_key("c", "t")], want);
     // Later than what the value says it counts: the next one's.
     assert!(one.with(ends.iter().cloned(), 8, 1000).ended == one.ended);
-    assert_eq!(parse(&name("a:b/c", "x:y")), Some(("a:b/c", "x:y")));
+    assert_eq!(
+        parse_class_and_team(&class_and_team_key("a:b/c", "x:y")),
+        Some(("a:b/c", "x:y"))
+    );
 }
 
 /// Below half for a minute is said once, and again only after it was better.
--- a/src/fairness/tests.rs
+++ b/src/fairness/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `fairness/mod.rs` that need its private parts.
+//! Tests of `fairness` that need its private parts.
 
 use super::*;
 
@@ -20,7 +20,7 @@
     assert_eq!((w[0] * 100.0).round(), 27.0);
     assert_eq!((unfairness(&w) * 100.0).round(), 73.0);
     let r = round(&list, 0.2, &PriorityBoosts::default());
-    assert_eq!(r.jobs.get("2"), Some(&(4, 2)));
+    assert_eq!(r.jobs.get("2"), Some(&PriorityBoost { tasks: 4, level: 2 }));
     assert!(!r.jobs.contains_key("1"));
     // Four tasks of workflow 2 start: fair again.
     let list = [act("1", 1, 3, Some(10.0), 0.9), act("2", 2, 4, None, 1.0)];
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -11,6 +11,7 @@
 pub mod pending_reason;
 
 use crate::autoscaler::model::{MachineRecord, MachineState};
+use crate::fairness::PriorityBoost;
 use crate::fairness::minimum_share::{self, ClassDemand};
 use crate::fairness::service_levels;
 use crate::ids::MachineId;
@@ -357,7 +358,12 @@
         let turn = (hopeless, order);
         let home = kind == JobKind::Gang || (s.owns_job)(id);
         let waiting = job.waiting as usize;
-        let (n, p) = v.priority_boosts.jobs.get(&**id).copied().unwrap_or((0, 0));
+        let PriorityBoost { tasks: n, level: p } = v
+            .priority_boosts
+            .jobs
+            .get(&**id)
+            .copied()
+            .unwrap_or_default();
         let n = if kind == JobKind::Gang && n > 0 {
             waiting
         } else {
@@ -723,7 +729,7 @@
     let array = |j: &Job| j.spec.kind == JobKind::Array && j.ready && !j.cancelled();
     let overdue = |j: &Job| {
         s.wall_clock.saturating_sub(j.waiting_since)
-            > minimum_share::patience(s.objectives, &j.spec.class)
+            > minimum_share::overdue_after(s.objectives, &j.spec.class)
     };
     // Also others': what a team's limit keeps for a class, all controllers keep.
     let lower =
@@ -743,10 +749,10 @@
         let c = classes
             .entry((scope(j), &*j.spec.class))
             .or_insert(ClassDemand {
-                rank: j.spec.priority,
+                priority: j.spec.priority,
                 waiting: 0,
                 running: 0,
-                time: 0.0,
+                mean_run_time_us: 0.0,
                 overdue: false,
             });
         let cpus = |n: u32| j.spec.resources.cpus * i64::from(n);
--- a/src/store/cluster_state.rs
+++ b/src/store/cluster_state.rs
@@ -291,7 +291,7 @@
         };
         self.ends.push_back(JobEnd {
             revision: rev,
-            name: service_levels::name(&j.spec.class, &j.spec.team),
+            class_and_team: service_levels::class_and_team_key(&j.spec.class, &j.spec.team),
             started: done || service_levels::started(j),
             done,
         });
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -4,7 +4,7 @@
 
 use common::LIMITS;
 use coppergw::autoscaler::model::{MachineRecord, MachineState};
-use coppergw::fairness::PriorityBoosts;
+use coppergw::fairness::{PriorityBoost, PriorityBoosts};
 use coppergw::jobs::commit::{JobChange, TransactionLimits, stage};
 use coppergw::jobs::model::{JobId, JobRecord, JobSpec, Resources, TaskBlock};
 use coppergw::membership::{SHARD_COUNT, Shard};
@@ -553,7 +553,8 @@
             ..v.jobs["req-0"].spec.as_ref().clone()
         };
         v.put(&keys::job("req-0"), &record(&s), 9);
-        let priority_boosts = BTreeMap::from([("req-0".to_string(), (2u32, 1u32))]);
+        let priority_boosts =
+            BTreeMap::from([("req-0".to_string(), PriorityBoost { tasks: 2, level: 1 })]);
         let priority_boosts = PriorityBoosts {
             jobs: priority_boosts,
         };
