--- a/src/store/cluster_state/finished_jobs.rs
+++ b/src/store/cluster_state/finished_jobs.rs
@@ -103,7 +103,7 @@
         };
         self.recent_job_ends.push(JobEnd {
             revision,
-            name: service_levels::name(&job.spec.class, &job.spec.team),
+            class_and_team: service_levels::class_and_team_key(&job.spec.class, &job.spec.team),
             started: done || service_levels::started(job),
             done,
         });
--- a/src/workers/machine_records.rs
+++ b/src/workers/machine_records.rs
@@ -10,7 +10,9 @@
 use super::liveness::{LivenessCheck, isolated};
 use super::worker_state::WorkerState;
 use crate::autoscaler::model::{MachineRecord, MachineState};
-use crate::autoscaler::{UP_MAX, UP_TOLD, declare_dead, put_machine};
+use crate::autoscaler::{
+    MAX_READY_WRITE_DELAY, MAX_READY_WRITE_DELAY_PEERS_AWARE, declare_dead, put_machine,
+};
 use crate::controller::Controller;
 use crate::ids::MachineId;
 use crate::membership::{MAX_READY_MACHINES, shard_of};
@@ -238,7 +240,8 @@
         // recent its last message: written again, it would get tasks that never start.
         let terminated = self.watch_cache.view().deleted(&keys::machine(id));
         let fenced_at = worker.heartbeat.fenced_at;
-        let known_for_long = fenced_at.is_some_and(|at| now.saturating_sub(at) > UP_MAX);
+        let known_for_long =
+            fenced_at.is_some_and(|at| now.saturating_sub(at) > MAX_READY_WRITE_DELAY);
         if terminated
             || !worker.fenced()
             || !known_for_long
@@ -331,7 +334,7 @@
     };
     let booting = machines.keys().filter(is_booting).count();
     match view.layout.is_some() && booting <= MAX_READY_MACHINES {
-        true => UP_TOLD,
-        false => UP_MAX,
+        true => MAX_READY_WRITE_DELAY_PEERS_AWARE,
+        false => MAX_READY_WRITE_DELAY,
     }
 }
--- a/tests/large_clusters/machines.rs
+++ b/tests/large_clusters/machines.rs
@@ -4,7 +4,7 @@
 use crate::world::World;
 use coppergw::autoscaler::model::{MachineRecord, MachineState, ScaleOutRequest, TerminationBatch};
 use coppergw::autoscaler::reconciler::forget_gone;
-use coppergw::autoscaler::{UP_MAX, declare_dead, not_expected};
+use coppergw::autoscaler::{MAX_READY_WRITE_DELAY, declare_dead, not_expected};
 use coppergw::ids::MachineId;
 use coppergw::membership::{Shard, shard_of};
 use coppergw::store::keys;
@@ -117,7 +117,7 @@
     for name in &names {
         world.put(keys::machine(name), to_value(&booting));
     }
-    let now = SECOND + boot_time * 2 + UP_MAX;
+    let now = SECOND + boot_time * 2 + MAX_READY_WRITE_DELAY;
     assert!(
         not_expected(&world.state, now, &|_| false).is_empty(),
         "all are late"
