--- /dev/null
+++ b/src/scheduling/attempt.rs
@@ -0,0 +1,140 @@
+//! Placement of equal tasks of one job: arrays and services. An attempt collects the assignments and takes
+//! the resources from the candidate machines.
+
+use super::backfill::GpuDemand;
+use super::bin_packing::{self, CandidateMachines, RankedMachine, Score};
+use super::machines::{CandidateMachine, machine_allowed};
+use super::queue::QueueEntry;
+use super::zones::{TasksByZone, zone_allowed};
+use crate::ids::MachineId;
+use crate::jobs::model::{JobSpec, Resources, TaskState};
+use crate::wire::user::JobKind;
+
+/// A task, its machine and the session of the machine's worker, as `JobChange::Place` has them.
+pub(super) type Assignment = (u32, MachineId, u64);
+
+/// So many tasks of a job at most are placed in one run: the next run follows at once.
+const MAX_TASKS_PER_JOB: usize = 512;
+
+/// Equal tasks of one job that are looking for machines.
+pub(super) struct PlacementAttempt<'a> {
+    pub(super) spec: &'a JobSpec,
+    /// Whether the scheduling controller owns the job.
+    pub(super) owned: bool,
+    pub(super) gpu_demand: GpuDemand,
+    /// Where the job's tasks are, with those placed here; empty without a zone constraint.
+    pub(super) tasks_by_zone: TasksByZone<'a>,
+    /// Indexes of the tasks to place.
+    waiting: Vec<u32>,
+    /// The first of them, with their machines.
+    pub(super) assignments: Vec<Assignment>,
+}
+
+impl<'a> PlacementAttempt<'a> {
+    /// An attempt for the first `permitted` tasks of an entry.
+    pub(super) fn new(
+        entry: &QueueEntry<'a>,
+        permitted: u32,
+        gpu_demand: GpuDemand,
+        tasks_by_zone: TasksByZone<'a>,
+    ) -> PlacementAttempt<'a> {
+        let waiting = entry
+            .job
+            .slots()
+            .filter(|(_, state)| matches!(state, TaskState::Waiting(_)))
+            .map(|(index, _)| index)
+            .skip(entry.first_waiting)
+            .take((permitted as usize).min(MAX_TASKS_PER_JOB))
+            .collect();
+        PlacementAttempt {
+            spec: &entry.job.spec,
+            owned: entry.owned,
+            gpu_demand,
+            tasks_by_zone,
+            waiting,
+            assignments: Vec::new(),
+        }
+    }
+
+    /// Tasks that this attempt is to place.
+    pub(super) fn requested(&self) -> usize {
+        self.waiting.len()
+    }
+
+    /// The free resources of a machine that these tasks may use.
+    pub(super) fn offered_resources(&self, candidate: &CandidateMachine<'_>) -> Resources {
+        self.gpu_demand.offered_resources(self.spec, candidate)
+    }
+
+    /// Whether these tasks may go to a machine, without a look at more than its free CPUs.
+    fn is_eligible(&self, candidate: &CandidateMachine<'_>) -> bool {
+        // A service may go to another owner's machine: in a small cluster its own owner has few that
+        // hold its image. Arrays do not, so that owners seldom take the same resources.
+        (candidate.owned || (self.owned && self.spec.kind == JobKind::Service))
+            && candidate.free.cpus >= self.spec.resources.cpus
+            && machine_allowed(self.spec, candidate.machine)
+    }
+
+    fn fits(&self, candidate: &CandidateMachine<'_>) -> bool {
+        self.offered_resources(candidate).fits(&self.spec.resources)
+    }
+
+    /// Score of a machine for these tasks, as if it had the image cached or not; `None` if none fits.
+    pub(super) fn score(
+        &self,
+        candidate: &CandidateMachine<'_>,
+        image_cached: bool,
+    ) -> Option<Score> {
+        (self.is_eligible(candidate) && self.fits(candidate))
+            .then(|| bin_packing::score(self.spec, candidate, image_cached))
+    }
+
+    /// Places up to `limit` tasks on machines in this order and returns how many.
+    pub(super) fn fill(
+        &mut self,
+        candidates: &mut CandidateMachines<'a>,
+        order: &[RankedMachine],
+        limit: usize,
+    ) -> usize {
+        let mut placed = 0;
+        for RankedMachine { index, .. } in order {
+            while placed < limit && self.fits(&candidates.list[*index]) {
+                self.assign(candidates, *index);
+                placed += 1;
+            }
+        }
+        placed
+    }
+
+    /// Places one task of a job with a zone constraint. Returns whether a machine was found.
+    pub(super) fn place_one(&mut self, candidates: &mut CandidateMachines<'a>) -> bool {
+        let spec = self.spec;
+        let best = candidates
+            .list
+            .iter()
+            .enumerate()
+            .filter(|(_, candidate)| {
+                self.is_eligible(candidate)
+                    && self.fits(candidate)
+                    && zone_allowed(spec, &self.tasks_by_zone, &candidate.machine.zone)
+            })
+            .min_by_key(|(index, candidate)| RankedMachine {
+                score: bin_packing::score(spec, candidate, candidate.has_image(spec)),
+                index: *index,
+            })
+            .map(|(index, _)| index);
+        let Some(index) = best else { return false };
+        let zone: &'a str = &candidates.list[index].machine.zone;
+        *self.tasks_by_zone.entry(zone).or_default() += 1;
+        self.assign(candidates, index);
+        true
+    }
+
+    fn assign(&mut self, candidates: &mut CandidateMachines<'_>, index: usize) {
+        candidates.take(index, &self.spec.resources);
+        let candidate = &candidates.list[index];
+        let task = self.waiting[self.assignments.len()];
+        self.assignments
+            .push((task, candidate.id.clone(), candidate.session));
+    }
+}
--- /dev/null
+++ b/src/scheduling/backfill.rs
@@ -0,0 +1,124 @@
+//! Backfill: tasks without GPUs on machines with GPUs. They get what GPU work leaves, and leave when a
+//! gang needs their resources. Pure.
+
+use super::machines::CandidateMachine;
+use crate::autoscaler::model::MachineRecord;
+use crate::ids::MachineId;
+use crate::jobs::commit::JobChange;
+use crate::jobs::model::{JobSpec, Resources};
+use crate::store::cluster_state::ClusterState;
+
+/// What GPU work needs of a machine with GPUs: kept free from all other tasks.
+#[derive(Clone, Copy)]
+pub(super) struct GpuDemand {
+    /// The most that any task with GPUs takes, by resource.
+    largest_task: Resources,
+    /// Whether such a task waits; only then is anything kept free.
+    waiting: bool,
+}
+
+impl GpuDemand {
+    /// `all_kinds`: whether this run looks at all waiting jobs. A run for services alone has only these
+    /// to look at, and offers nobody else what GPU work leaves.
+    pub(super) fn of(view: &ClusterState, all_kinds: bool) -> GpuDemand {
+        let mut largest_task = Resources::default();
+        for [cpus, gpus, memory] in view.index().gpu_task_sizes.keys() {
+            largest_task = Resources {
+                cpus: largest_task.cpus.max(*cpus),
+                gpus: largest_task.gpus.max(*gpus),
+                memory: largest_task.memory.max(*memory),
+            };
+        }
+        let mut waiting_jobs = view.waiting();
+        let waiting = all_kinds
+            && waiting_jobs.any(|(_, job)| job.spec.resources.gpus > 0 && job.queued() > 0);
+        GpuDemand {
+            largest_task,
+            waiting,
+        }
+    }
+
+    /// The free resources of a machine that a job may use.
+    pub(super) fn offered_resources(
+        &self,
+        spec: &JobSpec,
+        candidate: &CandidateMachine<'_>,
+    ) -> Resources {
+        let machine_gpus = candidate.capacity.gpus;
+        let others_exist = candidate.gpuless_types_exist;
+        if spec.resources.gpus > 0
+            || machine_gpus == 0
+            || !others_exist && self.largest_task.gpus == 0
+        {
+            return candidate.free;
+        }
+        if others_exist && !spec.backfill() {
+            return Resources::default();
+        }
+        if others_exist && !self.waiting {
+            return candidate.free;
+        }
+        let gpus_per_task = self.largest_task.gpus.max(1);
+        let gpu_tasks = (machine_gpus / gpus_per_task).max(1);
+        // The resources of GPU tasks that run here are taken already.
+        let kept_for = gpu_tasks - (machine_gpus - candidate.free.gpus) / gpus_per_task;
+        let mut offered = candidate.free;
+        if kept_for > 0 {
+            offered.subtract(&Resources {
+                cpus: self.largest_task.cpus * kept_for,
+                gpus: 0,
+                memory: self.largest_task.memory * kept_for,
+            });
+        }
+        offered
+    }
+}
+
+/// Whether there are machine types without GPUs.
+pub(super) fn gpuless_types_exist(view: &ClusterState) -> bool {
+    view.machine_types.values().any(|t| t.gpus == 0.0)
+}
+
+/// Whether a machine runs nothing but backfill tasks.
+pub fn backfill_only(view: &ClusterState, id: &MachineId, machine: &MachineRecord) -> bool {
+    view.tasks_on(id).is_none_or(|tasks| {
+        view.usage(id).backfills as usize == tasks.len()
+            && view
+                .machine_types
+                .get(&machine.machine_type)
+                .is_some_and(|t| t.gpus > 0.0)
+            && gpuless_types_exist(view)
+    })
+}
+
+/// Backfill tasks on one machine.
+pub(super) struct BackfillTasks {
+    /// What all of them take.
+    pub(super) resources: Resources,
+    /// Stops of those that have not been asked to leave yet.
+    pub(super) stops: Vec<JobChange>,
+}
+
+impl BackfillTasks {
+    pub(super) fn on(view: &ClusterState, machine: &MachineId) -> BackfillTasks {
+        let mut backfill = BackfillTasks {
+            resources: Resources::default(),
+            stops: Vec::new(),
+        };
+        for ((id, index), placement) in view.tasks_on(machine).into_iter().flatten() {
+            let Some(job) = view.jobs.get(id).filter(|job| job.spec.backfill()) else {
+                continue;
+            };
+            backfill.resources.add(&job.spec.resources);
+            if placement.stop.is_none() && !job.cancelled() {
+                backfill.stops.push(JobChange::Stop {
+                    job: id.clone(),
+                    index: *index,
+                    attempt: placement.attempt,
+                    grace: job.spec.checkpoint_save_time,
+                });
+            }
+        }
+        backfill
+    }
+}
--- a/src/scheduling/bin_packing.rs
+++ b/src/scheduling/bin_packing.rs
@@ -1,163 +1,301 @@
-//! The machines of one plan, ranked for kinds of tasks. Many jobs of a backlog ask for the same, so the
-//! order of the machines is kept from the second such job on and follows what was taken meanwhile: a
-//! plan costs machines and what it takes of them, not jobs times machines.
+//! Bin packing: the candidate machines of one run, ranked for task shapes. It owns the machines' free
+//! resources. Many jobs of a backlog ask for the same, so from the second job of a shape on the order of
+//! the machines is kept and follows what is taken: a run costs machines and what it takes of them, not
+//! jobs times machines.
 
-use super::{CandidateMachine, Kind, Run, offer, score, warm};
-use crate::jobs::model::Resources;
+use super::attempt::PlacementAttempt;
+use super::machines::CandidateMachine;
+use crate::jobs::model::{JobSpec, Resources};
+use crate::wire::user::JobKind;
 use foldhash::{HashMap, HashSet};
 use std::collections::BTreeSet;
 
-/// Smaller is better; then the machine's place in the list.
-pub(super) type Score = (i64, i64);
+/// How well a machine suits a task; smaller is better.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Score {
+    /// Sum of what speaks against the machine.
+    pub(super) penalty: i64,
+    /// Best fit: the fullest machine first.
+    free_cpus: i64,
+}
+
+/// A machine and its score. Of equal ones the first in the list is better.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct RankedMachine {
+    pub(super) score: Score,
+    /// Place in the list of candidates.
+    pub(super) index: usize,
+}
 
-/// The machines.
+/// What two jobs must share for a machine to suit either as well.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) struct TaskShape<'a> {
+    /// CPUs, GPUs, memory.
+    resources: [i64; 3],
+    pub(super) service: bool,
+    backfill: bool,
+    allow_spot: bool,
+    machine_types: Option<&'a Vec<String>>,
+    zone: Option<&'a String>,
+}
+
+impl<'a> TaskShape<'a> {
+    pub(super) fn of(spec: &'a JobSpec) -> TaskShape<'a> {
+        let resources = &spec.resources;
+        TaskShape {
+            resources: [resources.cpus, resources.gpus, resources.memory],
+            service: spec.kind == JobKind::Service,
+            backfill: spec.backfill(),
+            allow_spot: spec.allow_spot,
+            machine_types: spec.machine_types.as_ref(),
+            zone: spec.zone.as_ref(),
+        }
+    }
+}
+
+/// The candidate machines of a run.
 pub(super) struct CandidateMachines<'a> {
     pub(super) list: Vec<CandidateMachine<'a>>,
-    /// Machines of which something was taken, in that order, one that is the last already not again.
-    log: Vec<usize>,
-    /// Kinds of tasks that were asked for.
-    asked: HashSet<Key<'a>>,
-    ranked: HashMap<Key<'a>, Ranked>,
-    /// By image: machines that have it, of those that had room when it was first asked for one.
+    /// Machines of which something was taken, in that order, not repeated where equal to the last.
+    taken_log: Vec<usize>,
+    /// Rankings that were asked for at least once.
+    requested: HashSet<RankingKey<'a>>,
+    rankings: HashMap<RankingKey<'a>, Ranking>,
+    /// By image: machines that have cached it, of those with free CPUs when a ranking was first kept.
     with_image: Option<HashMap<&'a str, HashSet<usize>>>,
 }
 
-/// Kind of task, whether the job is the planner's own, and the image if only machines count that have it.
-type Key<'a> = (Kind<'a>, bool, Option<&'a str>);
+/// What a ranking is for.
+#[derive(Clone, Copy, PartialEq, Eq, Hash)]
+struct RankingKey<'a> {
+    shape: TaskShape<'a>,
+    /// Whether the scheduling controller owns the job.
+    owned: bool,
+    /// Rank only machines that have this image.
+    image: Option<&'a str>,
+}
 
-/// Machines in their order for one kind of task.
-struct Ranked {
-    set: BTreeSet<(Score, usize)>,
-    at: HashMap<usize, Score>,
-    /// How much of the log it has followed for good: of the last machine there more may be taken since.
-    seen: usize,
+/// Machines in their order for one task shape.
+struct Ranking {
+    order: BTreeSet<RankedMachine>,
+    scores: HashMap<usize, Score>,
+    /// How much of the log it has applied. Not its last machine, of which more may be taken since.
+    applied: usize,
 }
 
 impl<'a> CandidateMachines<'a> {
     pub(super) fn new(list: Vec<CandidateMachine<'a>>) -> CandidateMachines<'a> {
         CandidateMachines {
             list,
-            log: Vec::new(),
-            asked: HashSet::default(),
-            ranked: HashMap::default(),
+            taken_log: Vec::new(),
+            requested: HashSet::default(),
+            rankings: HashMap::default(),
             with_image: None,
         }
     }
 
-    /// Takes room of a machine.
-    pub(super) fn take(&mut self, k: usize, room: &Resources) {
-        self.list[k].free.subtract(room);
-        if self.log.last() != Some(&k) {
-            self.log.push(k);
+    /// Takes resources of a machine.
+    pub(super) fn take(&mut self, index: usize, resources: &Resources) {
+        self.list[index].free.subtract(resources);
+        if self.taken_log.last() != Some(&index) {
+            self.taken_log.push(index);
         }
     }
 
-    /// The best machines with room for a run, at most `n`, best first. Filling the best one keeps it the
-    /// best while it has room: less free room is better, and nothing else in the score becomes worse.
-    pub(super) fn best(&mut self, kind: Kind<'a>, run: &Run<'a>, n: usize) -> Vec<(Score, usize)> {
-        let spec = run.spec;
-        let cold = (kind, run.home, None);
-        if self.asked.insert(cold) {
-            // Most plans hold one job of a kind: not worth an order that is kept.
-            let list = self.list.iter().enumerate();
-            let mut list: Vec<(Score, usize)> = list
-                .filter_map(|(k, sp)| Some((rate(run, sp, warm(spec, sp))?, k)))
-                .collect();
-            // Each takes one at least.
-            if n > 0 && n < list.len() {
-                list.select_nth_unstable(n - 1);
-                list.truncate(n);
-            }
-            list.sort_unstable();
-            return list;
+    /// The best machines for the tasks of an attempt, at most `limit`, best first. Filling the best one
+    /// keeps it the best while tasks fit: less free is better, and nothing else in the score gets worse.
+    pub(super) fn best(
+        &mut self,
+        shape: TaskShape<'a>,
+        attempt: &PlacementAttempt<'a>,
+        limit: usize,
+    ) -> Vec<RankedMachine> {
+        let any_image = RankingKey {
+            shape,
+            owned: attempt.owned,
+            image: None,
+        };
+        if self.requested.insert(any_image) {
+            return self.best_unranked(attempt, limit);
+        }
+        let cached_image = RankingKey {
+            image: Some(&attempt.spec.image),
+            ..any_image
+        };
+        self.index_images();
+        self.update_ranking(any_image, attempt);
+        self.update_ranking(cached_image, attempt);
+        self.merge_rankings(&any_image, &cached_image, limit)
+    }
+
+    /// The best machines by one look at all: most runs have one job of a shape, for which a ranking that
+    /// is kept would not pay.
+    fn best_unranked(&self, attempt: &PlacementAttempt<'a>, limit: usize) -> Vec<RankedMachine> {
+        let candidates = self.list.iter().enumerate();
+        let mut ranked: Vec<RankedMachine> = candidates
+            .filter_map(|(index, candidate)| {
+                let image_cached = candidate.has_image(attempt.spec);
+                let score = attempt.score(candidate, image_cached)?;
+                Some(RankedMachine { score, index })
+            })
+            .collect();
+        // Each machine takes one task at least, so that more than `limit` are never needed.
+        if limit > 0 && limit < ranked.len() {
+            ranked.select_nth_unstable(limit - 1);
+            ranked.truncate(limit);
         }
-        let image: &'a str = &spec.image;
-        if self.with_image.is_none() {
-            let mut by: HashMap<&'a str, HashSet<usize>> = HashMap::default();
-            let roomy = self.list.iter().enumerate();
-            for (k, sp) in roomy.filter(|(_, sp)| sp.free.cpus > 0) {
-                for i in sp.images.into_iter().flatten() {
-                    by.entry(i).or_default().insert(k);
-                }
+        ranked.sort_unstable();
+        ranked
+    }
+
+    fn index_images(&mut self) {
+        if self.with_image.is_some() {
+            return;
+        }
+        let mut by_image: HashMap<&'a str, HashSet<usize>> = HashMap::default();
+        let candidates = self.list.iter().enumerate();
+        for (index, candidate) in candidates.filter(|(_, c)| c.free.cpus > 0) {
+            for image in candidate.images.into_iter().flatten() {
+                by_image.entry(image).or_default().insert(index);
             }
-            self.with_image = Some(by);
         }
-        self.follow(cold, run);
-        self.follow((kind, run.home, Some(image)), run);
-        let (Some(all), Some(warm)) = (
-            self.ranked.get(&cold),
-            self.ranked.get(&(kind, run.home, Some(image))),
+        self.with_image = Some(by_image);
+    }
+
+    /// The first machines of two rankings of one shape. The ranking for any image scores all machines as
+    /// if they had to fetch it: there those that have it are skipped.
+    fn merge_rankings(
+        &self,
+        any_image: &RankingKey<'a>,
+        cached_image: &RankingKey<'a>,
+        limit: usize,
+    ) -> Vec<RankedMachine> {
+        let (Some(all), Some(cached)) = (
+            self.rankings.get(any_image),
+            self.rankings.get(cached_image),
         ) else {
             return Vec::new();
         };
-        let has = self.having(Some(image));
-        // Those that have the image stand in the order of all as if they had not: passed over there.
-        let mut cold = all
-            .set
+        let has_image = self.machines_with_image(cached_image.image);
+        let mut uncached = all
+            .order
             .iter()
-            .filter(|(_, k)| has.is_none_or(|h| !h.contains(k)))
+            .filter(|ranked| has_image.is_none_or(|set| !set.contains(&ranked.index)))
             .copied()
             .peekable();
-        let mut warm = warm.set.iter().copied().peekable();
-        let mut out = Vec::new();
-        while out.len() < n {
-            let next = match (warm.peek(), cold.peek()) {
-                (Some(w), Some(c)) if w < c => warm.next(),
-                (_, Some(_)) => cold.next(),
-                (_, None) => warm.next(),
+        let mut cached = cached.order.iter().copied().peekable();
+        let mut best = Vec::new();
+        while best.len() < limit {
+            let next = match (cached.peek(), uncached.peek()) {
+                (Some(with), Some(without)) if with < without => cached.next(),
+                (_, Some(_)) => uncached.next(),
+                (_, None) => cached.next(),
             };
             let Some(next) = next else { break };
-            out.push(next);
+            best.push(next);
         }
-        out
+        best
     }
 
-    /// Machines that have an image.
-    fn having(&self, image: Option<&str>) -> Option<&HashSet<usize>> {
+    fn machines_with_image(&self, image: Option<&str>) -> Option<&HashSet<usize>> {
         self.with_image.as_ref()?.get(image?)
     }
 
-    /// Brings the order for a kind of task up to what has been taken.
-    fn follow(&mut self, key: Key<'a>, run: &Run<'a>) {
-        let of = |sp: &CandidateMachine<'_>| rate(run, sp, key.2.is_some());
-        if !self.ranked.contains_key(&key) {
-            let one = |k: usize| Some((of(&self.list[k])?, k));
-            let all: Vec<(Score, usize)> = match (key.2, self.having(key.2)) {
-                (None, _) => (0..self.list.len()).filter_map(one).collect(),
-                (_, has) => has.into_iter().flatten().filter_map(|k| one(*k)).collect(),
-            };
-            let at = all.iter().map(|(s, k)| (*k, *s)).collect();
-            let ranked = Ranked {
-                set: all.into_iter().collect(),
-                at,
-                seen: self.log.len().saturating_sub(1),
-            };
-            self.ranked.insert(key, ranked);
+    /// Makes a ranking, or applies to it what was taken since.
+    fn update_ranking(&mut self, key: RankingKey<'a>, attempt: &PlacementAttempt<'a>) {
+        if !self.rankings.contains_key(&key) {
+            let ranking = self.new_ranking(&key, attempt);
+            self.rankings.insert(key, ranking);
             return;
         }
         let with_image = self.with_image.as_ref();
-        let has = key.2.and_then(|i| with_image?.get(i));
-        let Some(r) = self.ranked.get_mut(&key) else {
+        let has_image = key.image.and_then(|image| with_image?.get(image));
+        let Some(ranking) = self.rankings.get_mut(&key) else {
             return;
         };
-        for k in &self.log[r.seen..] {
-            if key.2.is_some() && !has.is_some_and(|h| h.contains(k)) {
+        for index in &self.taken_log[ranking.applied..] {
+            if key.image.is_some() && !has_image.is_some_and(|set| set.contains(index)) {
                 continue;
             }
-            if let Some(s) = r.at.remove(k) {
-                r.set.remove(&(s, *k));
-            }
-            if let Some(s) = of(&self.list[*k]) {
-                r.at.insert(*k, s);
-                r.set.insert((s, *k));
+            let score = attempt.score(&self.list[*index], key.image.is_some());
+            ranking.set_score(*index, score);
+        }
+        ranking.applied = self.taken_log.len().saturating_sub(1);
+    }
+
+    fn new_ranking(&self, key: &RankingKey<'a>, attempt: &PlacementAttempt<'a>) -> Ranking {
+        let ranked = |index: usize| {
+            let score = attempt.score(&self.list[index], key.image.is_some())?;
+            Some(RankedMachine { score, index })
+        };
+        let machines: Vec<RankedMachine> = match key.image {
+            None => (0..self.list.len()).filter_map(ranked).collect(),
+            image => {
+                let indexes = self.machines_with_image(image).into_iter().flatten();
+                indexes.filter_map(|index| ranked(*index)).collect()
             }
+        };
+        Ranking {
+            scores: machines.iter().map(|m| (m.index, m.score)).collect(),
+            order: machines.into_iter().collect(),
+            applied: self.taken_log.len().saturating_sub(1),
         }
-        r.seen = self.log.len().saturating_sub(1);
     }
 }
 
-/// What a machine with room for a run is worth to it.
-fn rate(run: &Run<'_>, sp: &CandidateMachine<'_>, warm: bool) -> Option<Score> {
-    let fits = run.suits(sp) && offer(run.spec, sp, &run.gpus).fits(&run.spec.resources);
-    fits.then(|| score(run.spec, sp, warm))
+impl Ranking {
+    /// Moves a machine to its new place; without a score it is removed.
+    fn set_score(&mut self, index: usize, score: Option<Score>) {
+        if let Some(score) = self.scores.remove(&index) {
+            self.order.remove(&RankedMachine { score, index });
+        }
+        if let Some(score) = score {
+            self.scores.insert(index, score);
+            self.order.insert(RankedMachine { score, index });
+        }
+    }
+}
+
+/// Added where a task without GPUs would use a machine with GPUs.
+const PENALTY_GPU_MACHINE: i64 = 4;
+/// Added while a machine still boots.
+const PENALTY_BOOTING: i64 = 8;
+/// Added where the image has to be fetched first.
+const PENALTY_IMAGE_FETCH: i64 = 2;
+/// Added for an ordinary machine where a spot machine would do.
+const PENALTY_NOT_SPOT: i64 = 1;
+/// Added for a service on another owner's machine.
+const PENALTY_OTHER_OWNER: i64 = 1;
+/// Added where an array's small task would break into an empty machine: small tasks are drawn together, so
+/// that whole machines stay for those that need one, and empty ones can be released.
+const PENALTY_EMPTY_MACHINE: i64 = 3;
+
+/// Scores a machine for a job's tasks, as if it had the image cached or not.
+pub(super) fn score(spec: &JobSpec, candidate: &CandidateMachine<'_>, image_cached: bool) -> Score {
+    let mut penalty = 0;
+    if candidate.capacity.gpus > 0 && spec.resources.gpus == 0 {
+        penalty += PENALTY_GPU_MACHINE;
+    }
+    if candidate.booting {
+        penalty += PENALTY_BOOTING;
+    }
+    if !image_cached {
+        penalty += PENALTY_IMAGE_FETCH;
+    }
+    if spec.allow_spot && !candidate.machine.spot {
+        penalty += PENALTY_NOT_SPOT;
+    }
+    if spec.kind == JobKind::Service && !candidate.owned {
+        penalty += PENALTY_OTHER_OWNER;
+    }
+    if spec.kind == JobKind::Array
+        && candidate.free == candidate.capacity
+        && candidate.capacity.count_fitting(&spec.resources) > 1
+    {
+        penalty += PENALTY_EMPTY_MACHINE;
+    }
+    Score {
+        penalty,
+        free_cpus: candidate.free.cpus,
+    }
 }
--- /dev/null
+++ b/src/scheduling/gang.rs
@@ -0,0 +1,184 @@
+//! Gang scheduling: machines for all tasks of a gang, or for none. Where backfill tasks use some of them,
+//! these are asked to save and leave, and the gang waits for that.
+
+use super::attempt::Assignment;
+use super::backfill::{BackfillTasks, GpuDemand};
+use super::bin_packing::{CandidateMachines, Score, score};
+use super::machines::{machine_allowed, may_use_spot};
+use super::zones::{TasksByZone, most_per_zone};
+use crate::jobs::commit::JobChange;
+use crate::jobs::model::{JobSpec, Resources};
+use crate::store::cluster_state::{ClusterState, Job};
+use crate::time::{Micros, SECOND};
+use foldhash::{HashMap, HashMapExt};
+
+/// A gang that has waited this long keeps free machines from younger ones.
+pub(super) const GANG_RESERVATION_AGE: Micros = 40 * SECOND;
+
+/// Added where a machine fits once backfill tasks that are stopping already have left.
+const PENALTY_WAIT_FOR_BACKFILL: i64 = 16;
+/// Added to that where some would have to be stopped first.
+const PENALTY_STOP_BACKFILL: i64 = 16;
+
+/// A machine for tasks of a gang.
+struct GangMachine {
+    score: Score,
+    /// Place in the list of candidates.
+    index: usize,
+    /// What it offers, once backfill tasks have left.
+    resources: Resources,
+}
+
+/// Result of an attempt to place a gang.
+pub(super) enum GangPlacement {
+    /// All its tasks, with their machines.
+    Placed(Vec<Assignment>),
+    /// Its machines are taken; backfill tasks leave them first, by these changes.
+    WaitsForBackfill(Vec<JobChange>),
+    /// There are not enough machines.
+    NoCapacity,
+}
+
+/// Places a gang. In a forecast backfill tasks need not have left.
+pub(super) fn place_gang(
+    view: &ClusterState,
+    job: &Job,
+    candidates: &mut CandidateMachines<'_>,
+    gpu_demand: &GpuDemand,
+    forecast: bool,
+) -> GangPlacement {
+    let spec: &JobSpec = &job.spec;
+    let machines = rank_machines(view, job, candidates, gpu_demand);
+    let Some(chosen) = choose_machines(spec, candidates, &machines) else {
+        return GangPlacement::NoCapacity;
+    };
+    let mut free_now = true;
+    for index in &chosen {
+        free_now &= candidates.list[*index].free.fits(&spec.resources);
+        candidates.take(*index, &spec.resources);
+    }
+    if free_now || forecast {
+        let assignments = chosen.iter().enumerate().map(|(task, index)| {
+            let candidate = &candidates.list[*index];
+            (task as u32, candidate.id.clone(), candidate.session)
+        });
+        return GangPlacement::Placed(assignments.collect());
+    }
+    let mut stops = Vec::new();
+    for index in chosen {
+        if let Some(backfill) = &mut candidates.list[index].backfill {
+            stops.append(&mut backfill.stops);
+        }
+    }
+    GangPlacement::WaitsForBackfill(stops)
+}
+
+/// Takes the machines on which one task of a gang fits now, so that no younger gang gets them.
+pub(super) fn hold_free_machines(spec: &JobSpec, candidates: &mut CandidateMachines<'_>) {
+    for index in 0..candidates.list.len() {
+        let candidate = &candidates.list[index];
+        if spec.resources.gpus > 0
+            && machine_allowed(spec, candidate.machine)
+            && candidate.free.fits(&spec.resources)
+        {
+            candidates.take(index, &spec.resources);
+        }
+    }
+}
+
+/// Machines on which a task of a gang fits now, or once backfill tasks have left; best first.
+fn rank_machines(
+    view: &ClusterState,
+    job: &Job,
+    candidates: &mut CandidateMachines<'_>,
+    gpu_demand: &GpuDemand,
+) -> Vec<GangMachine> {
+    let spec: &JobSpec = &job.spec;
+    let spot_allowed = may_use_spot(job);
+    let mut machines: Vec<GangMachine> = Vec::new();
+    for (index, candidate) in candidates.list.iter_mut().enumerate() {
+        if !machine_allowed(spec, candidate.machine) || (candidate.machine.spot && !spot_allowed) {
+            continue;
+        }
+        let mut resources = gpu_demand.offered_resources(spec, candidate);
+        let mut penalty = 0;
+        if !resources.fits(&spec.resources) {
+            if spec.resources.gpus == 0
+                || candidate.free.gpus < spec.resources.gpus
+                || !candidate.gpuless_types_exist
+            {
+                continue;
+            }
+            let id = candidate.id;
+            let backfill = candidate
+                .backfill
+                .get_or_insert_with(|| BackfillTasks::on(view, id));
+            resources.add(&backfill.resources);
+            if !resources.fits(&spec.resources) {
+                continue;
+            }
+            penalty = PENALTY_WAIT_FOR_BACKFILL;
+            if !backfill.stops.is_empty() {
+                penalty += PENALTY_STOP_BACKFILL;
+            }
+        }
+        let mut score = score(spec, candidate, candidate.has_image(spec));
+        score.penalty += penalty;
+        machines.push(GangMachine {
+            score,
+            index,
+            resources,
+        });
+    }
+    machines.sort_unstable_by_key(|machine| (machine.score, machine.index));
+    machines
+}
+
+/// The machine of each task, as places in the list of candidates; `None` if there are not enough. A gang
+/// that needs a single zone tries the zones by name.
+fn choose_machines(
+    spec: &JobSpec,
+    candidates: &CandidateMachines<'_>,
+    machines: &[GangMachine],
+) -> Option<Vec<usize>> {
+    if !spec.single_zone {
+        return choose_in(spec, candidates, machines, None);
+    }
+    let zone_of = |machine: &GangMachine| candidates.list[machine.index].machine.zone.as_str();
+    let mut zones: Vec<&str> = machines.iter().map(zone_of).collect();
+    zones.sort_unstable();
+    zones.dedup();
+    zones
+        .into_iter()
+        .find_map(|zone| choose_in(spec, candidates, machines, Some(zone)))
+}
+
+/// The same within one zone, or in any.
+fn choose_in(
+    spec: &JobSpec,
+    candidates: &CandidateMachines<'_>,
+    machines: &[GangMachine],
+    only_zone: Option<&str>,
+) -> Option<Vec<usize>> {
+    let needed = spec.task_count as usize;
+    let mut chosen: Vec<usize> = Vec::new();
+    let mut tasks_by_zone: TasksByZone<'_> = HashMap::new();
+    for machine in machines {
+        let zone = candidates.list[machine.index].machine.zone.as_str();
+        if only_zone.is_some_and(|only| only != zone) {
+            continue;
+        }
+        for _ in 0..machine.resources.count_fitting(&spec.resources) {
+            if chosen.len() == needed {
+                break;
+            }
+            let in_zone = tasks_by_zone.entry(zone).or_default();
+            if spec.zone_spread && *in_zone >= most_per_zone(spec) {
+                break;
+            }
+            *in_zone += 1;
+            chosen.push(machine.index);
+        }
+    }
+    (chosen.len() >= needed).then_some(chosen)
+}
--- /dev/null
+++ b/src/scheduling/preemption.rs
@@ -0,0 +1,201 @@
+//! Preemption: stops tasks of lower priority on one machine so that a waiting task fits there.
+
+use super::attempt::PlacementAttempt;
+use super::bin_packing::CandidateMachines;
+use super::machines::{CandidateMachine, machine_allowed};
+use super::zones::zone_allowed;
+use crate::jobs::commit::JobChange;
+use crate::jobs::model::{JobId, JobSpec, Resources};
+use crate::store::cluster_state::ClusterState;
+use crate::time::{Micros, SECOND};
+use crate::wire::user::{JobKind, Priority};
+
+/// A job's own owner preempts for it at once; others only after this long, in case the owner has nothing
+/// to preempt.
+pub(super) const PREEMPTION_DELAY_FOR_OTHERS: Micros = 5 * SECOND;
+
+/// Which machines count for preemption.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) enum ImageRequirement {
+    /// Only those that have cached the job's image.
+    Cached,
+    /// All.
+    Any,
+}
+
+/// A task that may be preempted.
+struct PreemptibleTask {
+    /// Lower is preempted first.
+    cost: i64,
+    job: JobId,
+    index: u32,
+    attempt: u32,
+    resources: Resources,
+}
+
+/// What can be preempted on a machine; found out when first asked for.
+pub(super) struct PreemptibleTasks {
+    /// Resources of tasks that are stopping already.
+    stopping: Resources,
+    /// Resources of all tasks of the list.
+    total: Resources,
+    /// Cheapest first.
+    tasks: Vec<PreemptibleTask>,
+}
+
+impl PreemptibleTasks {
+    /// What a job may preempt on a machine.
+    fn on(view: &ClusterState, spec: &JobSpec, candidate: &CandidateMachine<'_>) -> Self {
+        let mut found = PreemptibleTasks {
+            stopping: Resources::default(),
+            total: Resources::default(),
+            tasks: Vec::new(),
+        };
+        for ((id, index), placement) in view.tasks_on(candidate.id).into_iter().flatten() {
+            let Some(job) = view.jobs.get(id) else {
+                continue;
+            };
+            let lower = &job.spec;
+            if placement.stop.is_some() || job.cancelled() {
+                found.stopping.add(&lower.resources);
+            } else if lower.priority > spec.priority
+                && lower.priority >= Priority::Normal
+                && lower.kind == JobKind::Array
+            {
+                found.total.add(&lower.resources);
+                found.tasks.push(PreemptibleTask {
+                    cost: preemption_cost(lower),
+                    job: id.clone(),
+                    index: *index,
+                    attempt: placement.attempt,
+                    resources: lower.resources,
+                });
+            }
+        }
+        found.tasks.sort_by_key(|task| task.cost);
+        found
+    }
+}
+
+/// Jobs that save checkpoints lose least, then those of the lowest priority.
+fn preemption_cost(spec: &JobSpec) -> i64 {
+    i64::from(spec.checkpoint_interval == 0) * 2 + i64::from(spec.priority == Priority::Normal)
+}
+
+/// Where one more task could go.
+enum PreemptionOption {
+    /// It fits once tasks that are stopping already have left.
+    FitsSoon,
+    /// It fits once the first so many preemptible tasks are stopped.
+    Stop { cost: i64, tasks: usize },
+    /// It never fits.
+    None,
+}
+
+/// Preempts tasks on one machine, the cheapest choice of all, so that one more task fits there. Returns
+/// false if there is none.
+pub(super) fn preempt_for_one_task(
+    view: &ClusterState,
+    attempt: &PlacementAttempt<'_>,
+    candidates: &mut CandidateMachines<'_>,
+    image: ImageRequirement,
+    changes: &mut Vec<JobChange>,
+) -> bool {
+    let spec = attempt.spec;
+    let mut cheapest: Option<(i64, usize, usize)> = None;
+    for (index, candidate) in candidates.list.iter_mut().enumerate() {
+        if !is_eligible(attempt, candidate, image) {
+            continue;
+        }
+        match preemption_option(view, attempt, candidate) {
+            PreemptionOption::FitsSoon => {
+                candidates.take(index, &spec.resources);
+                return true;
+            }
+            PreemptionOption::Stop { cost, tasks }
+                if cheapest.is_none_or(|(least, _, _)| cost < least) =>
+            {
+                cheapest = Some((cost, index, tasks));
+            }
+            _ => {}
+        }
+    }
+    let Some((_, index, tasks)) = cheapest else {
+        return false;
+    };
+    stop_tasks(&mut candidates.list[index], tasks, changes);
+    candidates.take(index, &spec.resources);
+    true
+}
+
+fn is_eligible(
+    attempt: &PlacementAttempt<'_>,
+    candidate: &CandidateMachine<'_>,
+    image: ImageRequirement,
+) -> bool {
+    let spec = attempt.spec;
+    candidate.owned
+        && machine_allowed(spec, candidate.machine)
+        && zone_allowed(spec, &attempt.tasks_by_zone, &candidate.machine.zone)
+        && (image == ImageRequirement::Any || candidate.has_image(spec))
+}
+
+fn preemption_option(
+    view: &ClusterState,
+    attempt: &PlacementAttempt<'_>,
+    candidate: &mut CandidateMachine<'_>,
+) -> PreemptionOption {
+    let spec = attempt.spec;
+    let mut available = attempt.offered_resources(candidate);
+    if candidate.preemptible.is_none() {
+        candidate.preemptible = Some(PreemptibleTasks::on(view, spec, candidate));
+    }
+    let Some(preemptible) = &candidate.preemptible else {
+        return PreemptionOption::None;
+    };
+    available.add(&preemptible.stopping);
+    if available.fits(&spec.resources) {
+        return PreemptionOption::FitsSoon;
+    }
+    let mut most = available;
+    most.add(&preemptible.total);
+    if !most.fits(&spec.resources) {
+        return PreemptionOption::None;
+    }
+    let (mut cost, mut tasks) = (0, 0);
+    for task in &preemptible.tasks {
+        if available.fits(&spec.resources) {
+            break;
+        }
+        // The list may be that of a job of higher priority: this one may not preempt all of it.
+        let job = view.jobs.get(&task.job);
+        if job.is_none_or(|job| job.spec.priority <= spec.priority) {
+            break;
+        }
+        available.add(&task.resources);
+        cost += task.cost + 1;
+        tasks += 1;
+    }
+    match available.fits(&spec.resources) {
+        true => PreemptionOption::Stop { cost, tasks },
+        false => PreemptionOption::None,
+    }
+}
+
+/// Stops the cheapest tasks of a machine, without a grace period: a service waits for their resources, and
+/// checkpoints are kept anyway.
+fn stop_tasks(candidate: &mut CandidateMachine<'_>, count: usize, changes: &mut Vec<JobChange>) {
+    let Some(preemptible) = &mut candidate.preemptible else {
+        return;
+    };
+    for task in preemptible.tasks.drain(..count) {
+        preemptible.stopping.add(&task.resources);
+        preemptible.total.subtract(&task.resources);
+        changes.push(JobChange::Stop {
+            job: task.job,
+            index: task.index,
+            attempt: task.attempt,
+            grace: 0,
+        });
+    }
+}
--- /dev/null
+++ b/src/scheduling/scheduler.rs
@@ -0,0 +1,351 @@
+//! One scheduling run: goes through the queue and places, preempts, reserves and records. It owns all
+//! state of the run, which ends with it.
+
+use super::attempt::{Assignment, PlacementAttempt};
+use super::backfill::{GpuDemand, gpuless_types_exist};
+use super::bin_packing::{CandidateMachines, TaskShape};
+use super::gang::{self, GANG_RESERVATION_AGE, GangPlacement};
+use super::machines::CandidateSource;
+use super::preemption::{ImageRequirement, PREEMPTION_DELAY_FOR_OTHERS, preempt_for_one_task};
+use super::queue::QueueEntry;
+use super::zones::{TasksByZone, has_zone_constraint, tasks_by_zone};
+use super::{Schedule, SchedulingInput};
+use crate::jobs::commit::JobChange;
+use crate::jobs::model::JobId;
+use crate::quota::QuotaLedger;
+use crate::wire::user::{JobKind, Priority};
+use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
+
+/// State of a run.
+pub(super) struct Scheduler<'i, 'a> {
+    input: &'i SchedulingInput<'a>,
+    quotas: QuotaLedger<'a>,
+    gpu_demand: GpuDemand,
+    machines: CandidateSource<'i, 'a>,
+    candidates: CandidateMachines<'a>,
+    /// All schedulable machines are candidates, not only those with free resources.
+    all_machines_listed: bool,
+    /// The oldest gang without machines holds the free ones.
+    machines_held_for_gang: bool,
+    /// Task shapes for which no machine has free resources: these only become less.
+    shapes_without_machine: HashSet<TaskShape<'a>>,
+    /// Shapes and priorities that find nothing to preempt.
+    preemption_exhausted: HashSet<(TaskShape<'a>, Priority)>,
+    /// Where jobs with a zone constraint have their tasks, with those placed in this run: such a job may
+    /// have several entries, and its constraint is for all of them together.
+    tasks_by_zone: HashMap<&'a JobId, TasksByZone<'a>>,
+    /// Jobs with something to write that are no plain arrays.
+    first_writes: usize,
+    /// Plain arrays with something to write: written after all others, so that they never use up writes
+    /// that those could have.
+    array_writes: usize,
+    schedule: Schedule,
+}
+
+/// What became of an entry's tasks.
+struct EntryOutcome {
+    assignments: Vec<Assignment>,
+    /// Tasks without a machine.
+    missing: u32,
+}
+
+/// Whether to go on with the queue.
+#[derive(PartialEq, Eq)]
+enum WriteBudget {
+    Available,
+    /// Nothing more of this entry's group can be written.
+    GroupExhausted,
+    /// Nothing more can be written.
+    Exhausted,
+}
+
+impl<'i, 'a> Scheduler<'i, 'a> {
+    /// A run over this queue, with the changes that were decided before it.
+    pub(super) fn new(
+        input: &'i SchedulingInput<'a>,
+        quotas: QuotaLedger<'a>,
+        gpu_demand: GpuDemand,
+        queue: &[QueueEntry<'a>],
+        schedule: Schedule,
+    ) -> Scheduler<'i, 'a> {
+        // Gangs may ask backfill tasks to leave, and the forecast reports every machine; else those with
+        // free resources are enough until something has to be preempted.
+        let all_machines_listed = input.forecast
+            || queue
+                .iter()
+                .any(|entry| entry.job.spec.kind == JobKind::Gang);
+        let machines = CandidateSource::new(input, gpuless_types_exist(input.view));
+        let candidates = match all_machines_listed {
+            true => machines.all(),
+            false => machines.with_free_resources(queue),
+        };
+        Scheduler {
+            input,
+            quotas,
+            gpu_demand,
+            machines,
+            candidates: CandidateMachines::new(candidates),
+            all_machines_listed,
+            machines_held_for_gang: false,
+            shapes_without_machine: HashSet::new(),
+            preemption_exhausted: HashSet::new(),
+            tasks_by_zone: HashMap::new(),
+            first_writes: 0,
+            array_writes: 0,
+            schedule,
+        }
+    }
+
+    /// Goes through the queue as far as the result can be written.
+    pub(super) fn place_all(&mut self, queue: &[QueueEntry<'a>]) {
+        for entry in queue {
+            match self.write_budget(entry) {
+                WriteBudget::Available => self.place_entry(entry),
+                WriteBudget::GroupExhausted => {}
+                WriteBudget::Exhausted => break,
+            }
+        }
+    }
+
+    /// The result; a forecast also reports what is left on each machine.
+    pub(super) fn finish(mut self) -> Schedule {
+        if self.input.forecast {
+            let machines = self.candidates.list.iter();
+            let free_resources = machines.map(|m| (m.id.clone(), m.free));
+            self.schedule.free_resources = free_resources.collect();
+        }
+        self.schedule
+    }
+
+    fn write_budget(&self, entry: &QueueEntry<'a>) -> WriteBudget {
+        match &self.input.write_limit {
+            Some(limit) if self.first_writes >= limit.jobs => WriteBudget::Exhausted,
+            Some(limit) if entry.is_plain_array() && self.array_writes >= limit.jobs => {
+                WriteBudget::GroupExhausted
+            }
+            _ => WriteBudget::Available,
+        }
+    }
+
+    fn place_entry(&mut self, entry: &QueueEntry<'a>) {
+        let spec = &entry.job.spec;
+        let headroom = self.quotas.headroom(spec, entry.quota_verdict());
+        let count = entry.count as u32;
+        let permitted = u32::try_from(headroom).unwrap_or(u32::MAX).min(count);
+        if permitted < count {
+            // What a quota holds back waits for no machine.
+            let limited = &mut self.schedule.limited_by_quota;
+            *limited.entry(entry.id.clone()).or_default() += count - permitted;
+        }
+        let outcome = if spec.kind == JobKind::Gang {
+            self.place_gang(entry, permitted)
+        } else if headroom > 0 {
+            Some(self.place_tasks(entry, permitted))
+        } else {
+            Some(EntryOutcome {
+                assignments: Vec::new(),
+                missing: 0,
+            })
+        };
+        if let Some(outcome) = outcome {
+            self.record(entry, outcome);
+        }
+    }
+
+    /// Places a whole gang; `None` if it is not tried.
+    fn place_gang(&mut self, entry: &QueueEntry<'a>, permitted: u32) -> Option<EntryOutcome> {
+        let (job, spec) = (entry.job, &entry.job.spec);
+        // While part of the last attempt is still on its machines, nothing starts.
+        if job.waiting != spec.task_count {
+            return None;
+        }
+        if permitted < spec.task_count {
+            let limited = &mut self.schedule.limited_by_quota;
+            limited.insert(entry.id.clone(), spec.task_count);
+            return None;
+        }
+        let input = self.input;
+        let candidates = &mut self.candidates;
+        match gang::place_gang(
+            input.view,
+            job,
+            candidates,
+            &self.gpu_demand,
+            input.forecast,
+        ) {
+            GangPlacement::Placed(assignments) if !assignments.is_empty() => {
+                return Some(EntryOutcome {
+                    assignments,
+                    missing: 0,
+                });
+            }
+            GangPlacement::WaitsForBackfill(mut stops) => self.schedule.changes.append(&mut stops),
+            _ => {}
+        }
+        let age = input.wall_clock.saturating_sub(job.waiting_since);
+        if !self.machines_held_for_gang && age > GANG_RESERVATION_AGE {
+            self.machines_held_for_gang = true;
+            gang::hold_free_machines(spec, &mut self.candidates);
+        }
+        Some(EntryOutcome {
+            assignments: Vec::new(),
+            missing: spec.task_count,
+        })
+    }
+
+    /// Places tasks of an array or a service, and preempts for those without a machine if they may.
+    fn place_tasks(&mut self, entry: &QueueEntry<'a>, permitted: u32) -> EntryOutcome {
+        let shape = TaskShape::of(&entry.job.spec);
+        let zoned = has_zone_constraint(&entry.job.spec);
+        let may_preempt = self.may_preempt(entry);
+        if self.is_hopeless(entry, shape, may_preempt) {
+            return EntryOutcome {
+                assignments: Vec::new(),
+                missing: permitted,
+            };
+        }
+        let in_zones = self.tasks_by_zone.remove(entry.id);
+        let in_zones = in_zones.unwrap_or_else(|| tasks_by_zone(self.input.view, entry.job));
+        let mut attempt = PlacementAttempt::new(entry, permitted, self.gpu_demand, in_zones);
+        let requested = attempt.requested();
+        let mut remaining = requested;
+        if zoned {
+            while remaining > 0 && attempt.place_one(&mut self.candidates) {
+                remaining -= 1;
+            }
+        } else {
+            remaining = self.pack(&mut attempt, shape, may_preempt);
+        }
+        let missing = remaining as u32 + permitted - requested as u32;
+        if may_preempt && remaining > 0 {
+            self.list_all_machines();
+            let unmet = self.preempt(&attempt, ImageRequirement::Any, remaining);
+            if unmet > 0 && !zoned {
+                self.preemption_exhausted
+                    .insert((shape, attempt.spec.priority));
+            }
+        }
+        if zoned {
+            self.tasks_by_zone.insert(entry.id, attempt.tasks_by_zone);
+        }
+        EntryOutcome {
+            assignments: attempt.assignments,
+            missing,
+        }
+    }
+
+    /// Whether tasks of lower priority may be preempted for an entry.
+    fn may_preempt(&self, entry: &QueueEntry<'a>) -> bool {
+        let age = self
+            .input
+            .wall_clock
+            .saturating_sub(entry.job.waiting_since);
+        !self.input.forecast
+            && (entry.owned || age > PREEMPTION_DELAY_FOR_OTHERS)
+            && (entry.job.spec.priority <= Priority::High || entry.entitled)
+    }
+
+    /// Whether it is known that nothing is free for these tasks and nothing can be preempted. An owned
+    /// service may also go to machines of other owners, which those before it could not.
+    fn is_hopeless(&self, entry: &QueueEntry<'a>, shape: TaskShape<'a>, may_preempt: bool) -> bool {
+        let spec = &entry.job.spec;
+        !has_zone_constraint(spec)
+            && self.shapes_without_machine.contains(&shape)
+            && !(entry.owned && shape.service)
+            && (!may_preempt || self.preemption_exhausted.contains(&(shape, spec.priority)))
+    }
+
+    /// Places tasks without a zone constraint on the best machines and returns how many remain. A service
+    /// starts sooner where others are preempted on a machine that has its image than where the image has
+    /// to be fetched first.
+    fn pack(
+        &mut self,
+        attempt: &mut PlacementAttempt<'a>,
+        shape: TaskShape<'a>,
+        may_preempt: bool,
+    ) -> usize {
+        let spec = attempt.spec;
+        let mut remaining = attempt.requested();
+        let order = self.candidates.best(shape, attempt, remaining);
+        if order.is_empty() {
+            self.shapes_without_machine.insert(shape);
+        }
+        if !(may_preempt && spec.kind == JobKind::Service) {
+            return remaining - attempt.fill(&mut self.candidates, &order, remaining);
+        }
+        let uncached_from = order
+            .iter()
+            .position(|ranked| !self.candidates.list[ranked.index].has_image(spec))
+            .unwrap_or(order.len());
+        let (cached, uncached) = order.split_at(uncached_from);
+        remaining -= attempt.fill(&mut self.candidates, cached, remaining);
+        if remaining > 0 {
+            self.list_all_machines();
+            remaining = self.preempt(attempt, ImageRequirement::Cached, remaining);
+        }
+        remaining - attempt.fill(&mut self.candidates, uncached, remaining)
+    }
+
+    /// Preempts for up to `count` tasks, one after another, and returns for how many it could not.
+    fn preempt(
+        &mut self,
+        attempt: &PlacementAttempt<'a>,
+        image: ImageRequirement,
+        count: usize,
+    ) -> usize {
+        let mut remaining = count;
+        while remaining > 0
+            && preempt_for_one_task(
+                self.input.view,
+                attempt,
+                &mut self.candidates,
+                image,
+                &mut self.schedule.changes,
+            )
+        {
+            remaining -= 1;
+        }
+        remaining
+    }
+
+    /// Adds the machines without free resources: they count only for preemption.
+    fn list_all_machines(&mut self) {
+        if !std::mem::replace(&mut self.all_machines_listed, true) {
+            self.machines.add_missing(&mut self.candidates.list);
+        }
+    }
+
+    fn record(&mut self, entry: &QueueEntry<'a>, outcome: EntryOutcome) {
+        let EntryOutcome {
+            assignments,
+            missing,
+        } = outcome;
+        let input = self.input;
+        // In the forecast tasks without a machine will have one: the quota is for all of them together.
+        let expected = if input.forecast { missing } else { 0 };
+        let started = assignments.len() as i64 + i64::from(expected);
+        self.quotas
+            .start(&entry.job.spec, started, entry.quota_verdict());
+        if !assignments.is_empty() && !input.forecast {
+            if input
+                .write_limit
+                .is_some_and(|limit| !(limit.busy)(entry.id))
+            {
+                match entry.is_plain_array() {
+                    true => self.array_writes += 1,
+                    false => self.first_writes += 1,
+                }
+            }
+            self.schedule.changes.push(JobChange::Place {
+                job: entry.id.clone(),
+                tasks: assignments,
+            });
+        }
+        if missing > 0 {
+            if entry.minimum_share {
+                *self.schedule.starved.entry(entry.id.clone()).or_default() += missing;
+            }
+            self.schedule.unplaced.push((entry.id.clone(), missing));
+        }
+    }
+}
--- /dev/null
+++ b/src/scheduling/starvation.rs
@@ -0,0 +1,172 @@
+//! Starvation protection: the longest waiting tasks of starved classes go before other arrays, within the
+//! minimum share of their class (`fairness::minimum_share`). Changes the queue and the quota ledger.
+
+use super::SchedulingInput;
+use super::queue::QueueEntry;
+use crate::fairness::minimum_share::{self, ClassDemand};
+use crate::quota::QuotaLedger;
+use crate::store::cluster_state::Job;
+use crate::wire::user::{JobKind, Priority};
+use foldhash::HashSet;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Where classes are compared with each other.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct ClassKey<'a> {
+    /// A team whose limit binds; `None` for all others together.
+    scope: Option<&'a str>,
+    class: &'a str,
+}
+
+/// The teams whose limit binds.
+struct Scopes<'a>(HashSet<&'a str>);
+
+impl<'a> Scopes<'a> {
+    fn key(&self, job: &'a Job) -> ClassKey<'a> {
+        ClassKey {
+            scope: self.0.get(&*job.spec.team).copied(),
+            class: &job.spec.class,
+        }
+    }
+}
+
+/// Raises tasks of starved classes. Services and jobs of high priority stay before them.
+pub(super) fn protect_starved<'a>(
+    input: &SchedulingInput<'a>,
+    quotas: &mut QuotaLedger<'a>,
+    queue: &mut Vec<QueueEntry<'a>>,
+) {
+    // Also others' jobs: what a team's limit reserves for a class, all controllers reserve.
+    if !input
+        .view
+        .waiting()
+        .any(|(_, job)| may_be_starved(input, job))
+    {
+        return;
+    }
+    let teams = input.teams.iter().map(|team| &*team.name);
+    let scopes = Scopes(teams.filter(|team| quotas.binds(team)).collect());
+    let demands = class_demands(input, &scopes);
+    let mut shares_left = minimum_shares(input, &demands, quotas);
+    raise_entries(input, &scopes, &mut shares_left, queue);
+}
+
+fn is_active_array(job: &Job) -> bool {
+    job.spec.kind == JobKind::Array && job.ready && !job.cancelled()
+}
+
+fn is_overdue(input: &SchedulingInput<'_>, job: &Job) -> bool {
+    input.wall_clock.saturating_sub(job.waiting_since)
+        > minimum_share::patience(input.objectives, &job.spec.class)
+}
+
+/// Whether a job is an overdue array of low priority.
+fn may_be_starved(input: &SchedulingInput<'_>, job: &Job) -> bool {
+    job.spec.priority > Priority::Normal
+        && is_active_array(job)
+        && job.waiting > 0
+        && is_overdue(input, job)
+}
+
+/// What the arrays of each class run and wait for.
+fn class_demands<'a>(
+    input: &SchedulingInput<'a>,
+    scopes: &Scopes<'a>,
+) -> BTreeMap<ClassKey<'a>, ClassDemand> {
+    let mut demands = BTreeMap::new();
+    let jobs = input.view.jobs.values();
+    for job in jobs.filter(|job| is_active_array(job)) {
+        let demand = demands.entry(scopes.key(job)).or_insert(ClassDemand {
+            rank: job.spec.priority,
+            waiting: 0,
+            running: 0,
+            time: 0.0,
+            overdue: false,
+        });
+        let cpus = |tasks: u32| job.spec.resources.cpus * i64::from(tasks);
+        demand.add(
+            cpus(job.waiting),
+            cpus(job.placed),
+            job.spec.estimated_run_time,
+        );
+        demand.overdue |= job.waiting > 0 && is_overdue(input, job);
+    }
+    demands
+}
+
+/// The CPUs of each class's minimum share that this controller hands out; of a team's limit the whole
+/// share is reserved.
+fn minimum_shares<'a>(
+    input: &SchedulingInput<'a>,
+    demands: &BTreeMap<ClassKey<'a>, ClassDemand>,
+    quotas: &mut QuotaLedger<'a>,
+) -> BTreeMap<ClassKey<'a>, i64> {
+    // Each controller raises its part, its own jobs first, so that together they take the share once.
+    // Whoever has a machine with free resources places them; where a task needs a whole machine that is
+    // seldom its owner.
+    let controllers = match input.forecast {
+        true => 1,
+        false => input.view.members.len().max(1) as i64,
+    };
+    let mut shares = BTreeMap::new();
+    let scopes: BTreeSet<Option<&str>> = demands.keys().map(|key| key.scope).collect();
+    for scope in scopes {
+        let in_scope = || demands.iter().filter(|(key, _)| key.scope == scope);
+        let list: Vec<ClassDemand> = in_scope().map(|(_, demand)| demand.clone()).collect();
+        for ((key, _), cpus) in in_scope().zip(minimum_share::minimum_share(&list)) {
+            if let Some(team) = scope {
+                quotas.reserve_minimum_share(team, cpus);
+            }
+            shares.insert(*key, (cpus + controllers - 1) / controllers);
+        }
+    }
+    shares
+}
+
+/// Raises entries, own and oldest first, as far as the shares go; an entry that exceeds its share is split.
+fn raise_entries<'a>(
+    input: &SchedulingInput<'a>,
+    scopes: &Scopes<'a>,
+    shares_left: &mut BTreeMap<ClassKey<'a>, i64>,
+    queue: &mut Vec<QueueEntry<'a>>,
+) {
+    let mut order: Vec<usize> = (0..queue.len())
+        .filter(|index| may_be_starved(input, queue[*index].job))
+        .collect();
+    order.sort_by_key(|index| {
+        let entry = &queue[*index];
+        (
+            !entry.owned,
+            entry.job.waiting_since,
+            entry.id,
+            entry.first_waiting,
+        )
+    });
+    for index in order {
+        let entry = &mut queue[index];
+        let Some(cpus_left) = shares_left.get_mut(&scopes.key(entry.job)) else {
+            continue;
+        };
+        let cpus_per_task = entry.job.spec.resources.cpus.max(1);
+        // Rounded up: one task also where the share is smaller than a task.
+        let tasks = (*cpus_left + cpus_per_task - 1)
+            .div_euclid(cpus_per_task)
+            .clamp(0, entry.count as i64);
+        if tasks == 0 {
+            continue;
+        }
+        *cpus_left -= tasks * cpus_per_task;
+        let tasks = tasks as usize;
+        let remainder = QueueEntry {
+            first_waiting: entry.first_waiting + tasks,
+            count: entry.count - tasks,
+            ..*entry
+        };
+        entry.count = tasks;
+        entry.minimum_share = true;
+        entry.priority = Priority::Normal;
+        if remainder.count > 0 {
+            queue.push(remainder);
+        }
+    }
+}
