--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,4 +1,5 @@
-//! Teams: what each uses, is owed, and may still start. Pure: one plan's account of it.
+//! Team quotas: what each team uses, is guaranteed and may still start. The ledger belongs to one
+//! scheduling run and ends with it; nothing here is stored.
 
 use crate::jobs::model::{JobId, JobSpec, Resources};
 use crate::settings::Team;
@@ -6,46 +7,46 @@
 use crate::wire::user::{JobKind, Priority};
 use foldhash::HashMap;
 
-/// What a team's tasks take, and would take if all that wait ran too.
+/// What a team's tasks take, and would take if all that wait ran too. CPUs and GPUs in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct Usage {
+struct TeamUsage {
     cpus: i64,
     gpus: i64,
     wanted_cpus: i64,
     wanted_gpus: i64,
 }
 
-/// What is kept of a team's limit for work that cannot start yet. Without it small tasks of lower rank
-/// take every CPU that becomes free, and whoever needs several at once, or is placed by another
-/// controller, never finds them.
+/// What is reserved of a team's limit for work that cannot start yet. Without it small tasks of lower
+/// priority take every CPU that is released, and work that needs several at once, or is placed by another
+/// controller, never gets them.
 #[derive(Clone, Debug, Default)]
-struct Claims {
-    /// Waiting tasks of high rank: services as a rule.
-    first: Resources,
-    /// Starved classes, up to their floor.
-    floor: Resources,
-    gang: Option<GangClaim>,
-    /// Gangs have their share: no further one is counted on.
-    gangs_full: bool,
+struct Reservations {
+    /// Waiting tasks of high priority: services as a rule.
+    high_priority: Resources,
+    /// Starved classes, up to their minimum share.
+    minimum_share: Resources,
+    gang: Option<GangReservation>,
+    /// Gangs have their share: no further one may start.
+    gangs_closed: bool,
 }
 
-/// What is kept for one gang.
+/// What is reserved for one gang.
 #[derive(Clone, Debug)]
-struct GangClaim {
+struct GangReservation {
     id: JobId,
-    need: Resources,
-    /// It waits so long that other gangs wait too.
-    patient: bool,
-    /// What will have ended before it starts.
-    drains: Resources,
+    resources: Resources,
+    /// It has waited so long that other gangs wait for it too.
+    before_other_gangs: bool,
+    /// What will have ended before it starts, and does not count as used for it.
+    released_by_then: Resources,
 }
 
-/// What a task is to its team's limit.
+/// What a task is to its team's limit: which reservations stand before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaVerdict<'a> {
-    /// High rank: no claim stands before it.
+    /// High priority: no reservation stands before it.
     WithinGuarantee,
-    /// Within the floor of a starved class.
+    /// Within the minimum share of a starved class.
     MinimumShare,
     /// A gang.
     Gang(&'a JobId),
@@ -53,155 +54,174 @@
     Ordinary,
 }
 
-/// The account of all teams while a plan is made: it begins with what is placed, and what the plan
-/// adds counts at once.
+/// Usage and reservations of all teams during a scheduling run: it begins with what is placed, and what
+/// the run places counts at once.
 pub struct QuotaLedger<'a> {
     teams: &'a [Team],
-    by: HashMap<&'a str, Usage>,
-    claims: HashMap<&'a str, Claims>,
+    usage: HashMap<&'a str, TeamUsage>,
+    reservations: HashMap<&'a str, Reservations>,
 }
 
 impl<'a> QuotaLedger<'a> {
-    /// What is placed, and what waits and may start.
-    pub fn open(v: &'a ClusterState, teams: &'a [Team]) -> QuotaLedger<'a> {
-        let mut by: HashMap<&str, Usage> = HashMap::default();
-        for (team, r) in &v.index().teams {
-            let u = by.entry(team).or_default();
-            (u.cpus, u.gpus, u.wanted_cpus, u.wanted_gpus) = (r.cpus, r.gpus, r.cpus, r.gpus);
+    /// A ledger with what is placed, and what waits and may start.
+    pub fn open(view: &'a ClusterState, teams: &'a [Team]) -> QuotaLedger<'a> {
+        let mut usage: HashMap<&str, TeamUsage> = HashMap::default();
+        for (team, placed) in &view.index().teams {
+            let team_usage = usage.entry(team).or_default();
+            *team_usage = TeamUsage {
+                cpus: placed.cpus,
+                gpus: placed.gpus,
+                wanted_cpus: placed.cpus,
+                wanted_gpus: placed.gpus,
+            };
         }
-        let mut claims: HashMap<&str, Claims> = HashMap::default();
-        // Without guarantees and limits nobody asks what is wanted.
-        let bound = |t: &Team| t.cpus > 0 || t.gpus > 0 || t.cpus_max > 0 || t.gpus_max > 0;
-        let asked = teams.iter().any(bound).then(|| v.waiting());
-        // What waits for other jobs holds no part of its team's guarantee or limit.
-        for (_, j) in asked.into_iter().flatten().filter(|(_, j)| j.ready) {
-            let r = &j.spec.resources;
-            let u = by.entry(&j.spec.team).or_default();
-            u.wanted_cpus += r.cpus * i64::from(j.waiting);
-            u.wanted_gpus += r.gpus * i64::from(j.waiting);
-            if j.spec.priority <= Priority::High && j.spec.kind != JobKind::Gang {
-                let c = claims.entry(&j.spec.team).or_default();
-                c.first.add(&r.for_tasks(i64::from(j.queued())));
+        let mut reservations: HashMap<&str, Reservations> = HashMap::default();
+        // Without guarantees and limits what is wanted is never read.
+        let has_quota = |t: &Team| t.cpus > 0 || t.gpus > 0 || t.cpus_max > 0 || t.gpus_max > 0;
+        let waiting = teams.iter().any(has_quota).then(|| view.waiting());
+        // What waits for other jobs takes no part of its team's guarantee or limit.
+        for (_, job) in waiting.into_iter().flatten().filter(|(_, job)| job.ready) {
+            let per_task = &job.spec.resources;
+            let team_usage = usage.entry(&job.spec.team).or_default();
+            team_usage.wanted_cpus += per_task.cpus * i64::from(job.waiting);
+            team_usage.wanted_gpus += per_task.gpus * i64::from(job.waiting);
+            if job.spec.priority <= Priority::High && job.spec.kind != JobKind::Gang {
+                let reserved = reservations.entry(&job.spec.team).or_default();
+                let queued = per_task.for_tasks(i64::from(job.queued()));
+                reserved.high_priority.add(&queued);
             }
         }
-        QuotaLedger { teams, by, claims }
+        QuotaLedger {
+            teams,
+            usage,
+            reservations,
+        }
     }
 
     fn team(&self, name: &str) -> Option<&'a Team> {
         self.teams.iter().find(|t| t.name == name)
     }
 
-    fn usage(&self, name: &str) -> Usage {
-        self.by.get(name).copied().unwrap_or_default()
+    fn usage(&self, name: &str) -> TeamUsage {
+        self.usage.get(name).copied().unwrap_or_default()
     }
 
     /// Whether all of a team's unfinished jobs fit into its guarantee together.
     pub fn entitled(&self, name: &str) -> bool {
-        let u = self.usage(name);
+        let usage = self.usage(name);
         self.team(name).is_some_and(|t| {
             (t.cpus > 0 || t.gpus > 0)
-                && self.by.contains_key(name)
-                && u.wanted_cpus <= t.cpus
-                && u.wanted_gpus <= t.gpus
+                && self.usage.contains_key(name)
+                && usage.wanted_cpus <= t.cpus
+                && usage.wanted_gpus <= t.gpus
         })
     }
 
     /// Whether a team's limit keeps some of its work waiting.
     pub fn binds(&self, name: &str) -> bool {
-        let u = self.usage(name);
+        let usage = self.usage(name);
         let over = |max, wanted| max > 0 && wanted > max;
-        self.team(name)
-            .is_some_and(|t| over(t.cpus_max, u.wanted_cpus) || over(t.gpus_max, u.wanted_gpus))
+        self.team(name).is_some_and(|t| {
+            over(t.cpus_max, usage.wanted_cpus) || over(t.gpus_max, usage.wanted_gpus)
+        })
     }
 
-    /// Keeps so many CPUs of a team's limit for its starved classes.
+    /// Reserves so many CPUs (in thousandths) of a team's limit for its starved classes.
     pub fn reserve_minimum_share(&mut self, team: &'a str, cpus: i64) {
-        self.claims.entry(team).or_default().floor.cpus += cpus;
+        self.reservations
+            .entry(team)
+            .or_default()
+            .minimum_share
+            .cpus += cpus;
     }
 
-    /// Keeps what a gang needs of its team's limit; also from other gangs if it has waited long. For this
-    /// gang what `drains` does not count as used.
+    /// Reserves what a gang needs of its team's limit, also against other gangs if `before_other_gangs`.
+    /// For this gang `released_by_then` does not count as used.
     pub fn reserve_for_gang(
         &mut self,
         id: &JobId,
-        s: &'a JobSpec,
-        patient: bool,
-        drains: Resources,
+        spec: &'a JobSpec,
+        before_other_gangs: bool,
+        released_by_then: Resources,
     ) {
-        self.claims.entry(&s.team).or_default().gang = Some(GangClaim {
+        self.reservations.entry(&spec.team).or_default().gang = Some(GangReservation {
             id: id.clone(),
-            need: s.resources.for_tasks(i64::from(s.task_count)),
-            patient,
-            drains,
+            resources: spec.resources.for_tasks(i64::from(spec.task_count)),
+            before_other_gangs,
+            released_by_then,
         });
     }
 
-    /// Counts on no further gang of a team.
+    /// Lets no further gang of a team start.
     pub fn close_gangs(&mut self, team: &'a str) {
-        self.claims.entry(team).or_default().gangs_full = true;
+        self.reservations.entry(team).or_default().gangs_closed = true;
     }
 
     /// How many more tasks of a job its team's limit lets start.
-    pub fn headroom(&self, s: &JobSpec, turn: QuotaVerdict<'_>) -> i64 {
-        let u = self.usage(&s.team);
+    pub fn headroom(&self, spec: &JobSpec, verdict: QuotaVerdict<'_>) -> i64 {
+        let usage = self.usage(&spec.team);
         let mut used = Resources {
-            cpus: u.cpus,
-            gpus: u.gpus,
+            cpus: usage.cpus,
+            gpus: usage.gpus,
             memory: 0,
         };
-        if let Some(c) = self.claims.get(&*s.team) {
-            if c.gangs_full && matches!(turn, QuotaVerdict::Gang(_)) {
+        if let Some(reserved) = self.reservations.get(&*spec.team) {
+            if reserved.gangs_closed && matches!(verdict, QuotaVerdict::Gang(_)) {
                 return 0;
             }
-            if turn != QuotaVerdict::WithinGuarantee {
-                used.add(&c.first);
+            if verdict != QuotaVerdict::WithinGuarantee {
+                used.add(&reserved.high_priority);
             }
-            if turn == QuotaVerdict::Ordinary {
-                used.add(&c.floor);
+            if verdict == QuotaVerdict::Ordinary {
+                used.add(&reserved.minimum_share);
             }
-            if let Some(g) = &c.gang {
-                match turn {
-                    QuotaVerdict::Gang(id) if *id == g.id => used.subtract(&g.drains),
-                    QuotaVerdict::Gang(_) if !g.patient => {}
-                    QuotaVerdict::Gang(_) | QuotaVerdict::Ordinary => used.add(&g.need),
+            if let Some(gang) = &reserved.gang {
+                match verdict {
+                    QuotaVerdict::Gang(id) if *id == gang.id => {
+                        used.subtract(&gang.released_by_then)
+                    }
+                    QuotaVerdict::Gang(_) if !gang.before_other_gangs => {}
+                    QuotaVerdict::Gang(_) | QuotaVerdict::Ordinary => used.add(&gang.resources),
                     QuotaVerdict::WithinGuarantee | QuotaVerdict::MinimumShare => {}
                 }
             }
         }
-        at_once(self.teams, s, &used).unwrap_or(i64::MAX)
+        at_once(self.teams, spec, &used).unwrap_or(i64::MAX)
     }
 
-    /// So many tasks of a job count as started, and no longer as claimed.
-    pub fn start(&mut self, s: &'a JobSpec, tasks: i64, turn: QuotaVerdict<'_>) {
-        let room = s.resources.for_tasks(tasks);
-        let u = self.by.entry(&s.team).or_default();
-        u.cpus += room.cpus;
-        u.gpus += room.gpus;
-        let Some(c) = self.claims.get_mut(&*s.team) else {
+    /// Counts so many tasks of a job as started, and no longer as reserved.
+    pub fn start(&mut self, spec: &'a JobSpec, tasks: i64, verdict: QuotaVerdict<'_>) {
+        let started = spec.resources.for_tasks(tasks);
+        let usage = self.usage.entry(&spec.team).or_default();
+        usage.cpus += started.cpus;
+        usage.gpus += started.gpus;
+        let Some(reserved) = self.reservations.get_mut(&*spec.team) else {
             return;
         };
-        let met = |claim: &mut Resources| {
-            claim.cpus = (claim.cpus - room.cpus).max(0);
-            claim.gpus = (claim.gpus - room.gpus).max(0);
+        let fulfil = |reservation: &mut Resources| {
+            reservation.cpus = (reservation.cpus - started.cpus).max(0);
+            reservation.gpus = (reservation.gpus - started.gpus).max(0);
         };
-        match turn {
-            QuotaVerdict::WithinGuarantee => met(&mut c.first),
-            QuotaVerdict::MinimumShare => met(&mut c.floor),
-            QuotaVerdict::Gang(id) if tasks > 0 && c.gang.as_ref().is_some_and(|g| g.id == *id) => {
-                c.gang = None;
+        match verdict {
+            QuotaVerdict::WithinGuarantee => fulfil(&mut reserved.high_priority),
+            QuotaVerdict::MinimumShare => fulfil(&mut reserved.minimum_share),
+            QuotaVerdict::Gang(id)
+                if tasks > 0 && reserved.gang.as_ref().is_some_and(|gang| gang.id == *id) =>
+            {
+                reserved.gang = None;
             }
             QuotaVerdict::Gang(_) | QuotaVerdict::Ordinary => {}
         }
     }
 }
 
-/// How many tasks of a job its team may run at once beside what it holds elsewhere; `None` if nothing
+/// How many tasks of a job its team may run at once beside what it uses elsewhere; `None` if nothing
 /// limits them.
-pub fn at_once(teams: &[Team], s: &JobSpec, elsewhere: &Resources) -> Option<i64> {
-    let t = teams.iter().find(|t| t.name == s.team)?;
+pub fn at_once(teams: &[Team], spec: &JobSpec, elsewhere: &Resources) -> Option<i64> {
+    let team = teams.iter().find(|t| t.name == spec.team)?;
     let amounts = [
-        (t.cpus_max, elsewhere.cpus, s.resources.cpus),
-        (t.gpus_max, elsewhere.gpus, s.resources.gpus),
+        (team.cpus_max, elsewhere.cpus, spec.resources.cpus),
+        (team.gpus_max, elsewhere.gpus, spec.resources.gpus),
     ];
     let limited = amounts
         .iter()
--- a/src/scheduling/pending_reason.rs
+++ b/src/scheduling/pending_reason.rs
@@ -1,4 +1,4 @@
-//! Why a job waits. Pure, from the view and a plan over all machines.
+//! Why a job is pending. Pure, from the cluster state and a schedule over all machines.
 
 use super::Schedule;
 use crate::jobs::model::JobId;
@@ -7,28 +7,28 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Why tasks of a job wait; of several reasons the first that has to go.
+/// Why tasks of a job are pending; of several reasons the first that has to be resolved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PendingReason {
-    /// Jobs that it needs are not done.
+    /// Jobs that it depends on are not done.
     #[serde(rename = "needs")]
     Dependency,
     /// Tasks of its last attempt are still on their machines: a gang starts as a whole.
     LastAttempt,
-    /// Its tasks failed lately; they are tried again in a moment.
+    /// Its tasks failed recently and are in back-off.
     #[serde(rename = "failed")]
     Backoff,
-    /// Its team's limit.
+    /// Its team's quota.
     #[serde(rename = "limit")]
     TeamLimit,
-    /// No machine that it may use has room for them.
+    /// No machine that it may use has enough free resources.
     #[serde(rename = "room")]
     NoCapacity,
-    /// They are about to be placed.
+    /// They are about to be placed, in the order of the queue.
     #[serde(rename = "turn")]
     QueueOrder,
-    /// None waits for a place: they fetch their image, or run.
+    /// None waits for a machine: they fetch their image, or run.
     #[serde(rename = "image")]
     ImageFetch,
 }
@@ -38,30 +38,30 @@
 pub fn pending_reason(
     schedule: &Schedule,
     id: &JobId,
-    j: &Job,
-    failed: bool,
+    job: &Job,
+    in_backoff: bool,
     fetching: u32,
 ) -> Reason {
-    if j.cancelled() || j.waiting + fetching == 0 {
+    if job.cancelled() || job.waiting + fetching == 0 {
         return None;
     }
     let limited = schedule.limited(id);
     let missing = schedule.unplaced.iter().filter(|(x, _)| x == id);
     let missing: u32 = missing.map(|(_, n)| n).sum();
-    Some(if !j.ready {
-        (PendingReason::Dependency, j.waiting)
-    } else if j.waiting == 0 {
+    Some(if !job.ready {
+        (PendingReason::Dependency, job.waiting)
+    } else if job.waiting == 0 {
         (PendingReason::ImageFetch, fetching)
-    } else if j.spec.kind == JobKind::Gang && j.waiting < j.spec.task_count {
-        (PendingReason::LastAttempt, j.waiting)
-    } else if failed {
-        (PendingReason::Backoff, j.waiting)
+    } else if job.spec.kind == JobKind::Gang && job.waiting < job.spec.task_count {
+        (PendingReason::LastAttempt, job.waiting)
+    } else if in_backoff {
+        (PendingReason::Backoff, job.waiting)
     } else if limited > 0 {
         (PendingReason::TeamLimit, limited)
     } else if missing > 0 {
         (PendingReason::NoCapacity, missing)
     } else {
-        (PendingReason::QueueOrder, j.waiting)
+        (PendingReason::QueueOrder, job.waiting)
     })
 }
 
@@ -71,22 +71,23 @@
 /// By team and reason: how many jobs and tasks wait, and how long the oldest has, in seconds.
 pub type Counts<'a> = BTreeMap<&'a str, BTreeMap<PendingReason, (u32, u64, f64)>>;
 
-/// Counts what waits.
+/// Counts pending jobs and tasks by team and reason.
 pub fn count<'a>(
-    v: &'a ClusterState,
-    wall: u64,
-    of: &dyn Fn(&JobId, &Job) -> Reason,
+    view: &'a ClusterState,
+    wall_clock: u64,
+    reason_of: &dyn Fn(&JobId, &Job) -> Reason,
 ) -> Counts<'a> {
-    let mut out = Counts::new();
-    for (id, j) in &v.jobs {
-        let Some((why, tasks)) = of(id, j) else {
+    let mut counts = Counts::new();
+    for (id, job) in &view.jobs {
+        let Some((reason, tasks)) = reason_of(id, job) else {
             continue;
         };
-        let team = out.entry(&*j.spec.team).or_default();
-        let c = team.entry(why).or_default();
-        c.0 += 1;
-        c.1 += u64::from(tasks);
-        c.2 = c.2.max(wall.saturating_sub(j.waiting_since) as f64 / 1e6);
+        let age_s = wall_clock.saturating_sub(job.waiting_since) as f64 / 1e6;
+        let team = counts.entry(&*job.spec.team).or_default();
+        let (jobs, all_tasks, oldest_s) = team.entry(reason).or_default();
+        *jobs += 1;
+        *all_tasks += u64::from(tasks);
+        *oldest_s = oldest_s.max(age_s);
     }
-    out
+    counts
 }
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Teams at their limits: what is rented, who gets a turn, and that no controller overshoots.
+//! Teams at their quotas: what is scaled out, which jobs start, and that no controller exceeds a quota.
 
 mod common;
 
@@ -50,15 +50,15 @@
 }
 
 /// A fleet of machines with 16 CPUs, and what happens to it.
-struct WorkerRegistry {
+struct TestCluster {
     store: Store,
     teams: Vec<Team>,
     now: u64,
 }
 
-impl WorkerRegistry {
-    fn new(machines: usize, limit: i64) -> WorkerRegistry {
-        let mut f = WorkerRegistry {
+impl TestCluster {
+    fn new(machines: usize, limit: i64) -> TestCluster {
+        let mut f = TestCluster {
             store: Store::default(),
             teams: teams(limit),
             now: 500 * SECOND,
@@ -188,7 +188,7 @@
         limit in 20i64..200,
         jobs in proptest::collection::vec((0u8..3, 0u8..2, 1u32..200, 1i64..8, any::<bool>()), 1..12),
     ) {
-        let mut f = WorkerRegistry::new(machines, limit);
+        let mut f = TestCluster::new(machines, limit);
         for (i, (kind, rank, tasks, cpus, capped)) in jobs.iter().enumerate() {
             let kind = [JobKind::Array, JobKind::Gang, JobKind::Service][*kind as usize];
             let rank = match kind {
@@ -230,7 +230,7 @@
 /// backlog each half minute, and returned.
 #[test]
 fn a_backlog_behind_a_limit_rents_nothing() {
-    let mut f = WorkerRegistry::new(2, 32);
+    let mut f = TestCluster::new(2, 32);
     f.job(
         "req-000001",
         &job("capped", JobKind::Array, Priority::Normal, 31, 1),
@@ -268,7 +268,7 @@
         (job("capped", JobKind::Array, Priority::Low, 4, 16), 400, 16),
     ];
     for (waits, age, kept) in cases {
-        let mut f = WorkerRegistry::new(12, 64);
+        let mut f = TestCluster::new(12, 64);
         f.job(
             "req-000001",
             &job("capped", JobKind::Array, Priority::Normal, 48, 1),
@@ -308,7 +308,7 @@
         f.carry_out(&v, &p.changes);
         let v = f.view();
         assert!(
-            WorkerRegistry::placed(&v, "req-000002") > 0,
+            TestCluster::placed(&v, "req-000002") > 0,
             "{:?} starts",
             waits.kind
         );
@@ -333,7 +333,7 @@
         seed in any::<u64>(),
     ) {
         let limit = 96;
-        let mut f = WorkerRegistry::new(18, limit);
+        let mut f = TestCluster::new(18, limit);
         for i in 0..24 {
             f.job(&format!("req-1{i:05}"), &job("capped", JobKind::Array, Priority::Normal, 80, 1));
         }
@@ -406,7 +406,7 @@
         prop_assert!(low >= 6, "low work got {low} starts");
         for i in 0..4 {
             let id = format!("req-4{i:05}");
-            prop_assert_eq!(WorkerRegistry::placed(&truth, &id), 3, "service {} waits", i);
+            prop_assert_eq!(TestCluster::placed(&truth, &id), 3, "service {} waits", i);
         }
         common::indexed(&truth);
     }
@@ -416,7 +416,7 @@
 /// what may still run there counts for whoever owns them, whatever was cancelled, and comes back task by task.
 #[test]
 fn what_was_cancelled_counts_until_it_has_left() {
-    let mut f = WorkerRegistry::new(3, 4);
+    let mut f = TestCluster::new(3, 4);
     let placed = |machine: &str| {
         TaskState::Placed(coppergw::jobs::model::Placement {
             attempt: 1,
@@ -453,7 +453,7 @@
         f.carry_out(&v, &p.changes);
         let v = f.view();
         assert_eq!(
-            WorkerRegistry::placed(&v, "req-000002"),
+            TestCluster::placed(&v, "req-000002"),
             left,
             "no more, and none is lost for good"
         );
@@ -472,7 +472,7 @@
 /// closed as many again: all that were in use closed, and others were rented for the next gang.
 #[test]
 fn no_more_machines_with_gangs_close_than_stand_free() {
-    let mut f = WorkerRegistry::new(0, 0);
+    let mut f = TestCluster::new(0, 0);
     let types = vec![
         machine_type("cpu", 16.0, 0.0),
         machine_type("gpu", 24.0, 2.0),
@@ -511,7 +511,7 @@
     let mut closed = 0;
     for _ in 0..5 {
         let v = f.view();
-        assert_eq!(WorkerRegistry::placed(&v, "req-000001"), 36);
+        assert_eq!(TestCluster::placed(&v, "req-000001"), 36);
         let d = f.rent(&v, &f.plan(&v, None, true));
         for id in d.cordon {
             closed += 1;
@@ -526,7 +526,7 @@
 /// jobs that ended in that gap: they are not added once more.
 #[test]
 fn an_end_in_a_gap_counts_from_where_the_gap_begins() {
-    let mut f = WorkerRegistry::new(0, 0);
+    let mut f = TestCluster::new(0, 0);
     f.job(
         "req-000001",
         &job("free", JobKind::Array, Priority::Low, 1, 1),
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Placement on generated sites: whatever the plan says keeps the Rules.
+//! Scheduling on generated clusters: every schedule keeps the rules of the platform.
 
 mod common;
 
@@ -125,11 +125,11 @@
     to_value(&JobRecord(s.clone(), TaskBlock::default()))
 }
 
-fn scene_plan(v: &ClusterState) -> Vec<JobChange> {
-    plan_for(v, None)
+fn schedule_changes(v: &ClusterState) -> Vec<JobChange> {
+    schedule_with_limit(v, None)
 }
 
-fn plan_for(v: &ClusterState, writes: Option<Writes<'_>>) -> Vec<JobChange> {
+fn schedule_with_limit(v: &ClusterState, writes: Option<Writes<'_>>) -> Vec<JobChange> {
     let teams = teams();
     schedule(&SchedulingInput {
         view: v,
@@ -229,7 +229,7 @@
         }
         let limits = TransactionLimits { max_mutations: 16, max_merged_mutations: 16, max_bytes: 48_000 , max_value_bytes: 32_000, newer_layout: false, packed: false, wall_clock: 0};
         for _ in 0..4 {
-            let intents = scene_plan(&v);
+            let intents = schedule_changes(&v);
             let staged = stage(&v, &intents, &HashSet::new(), &|t| t == "capped", limits);
             for s in staged {
                 prop_assert!(s.transaction.mutations.len() <= 16 && s.transaction.preconditions.len() <= 64);
@@ -269,7 +269,7 @@
             ..common::spec(JobKind::Array, 1)
         };
         v.put(&keys::job("req-1"), &record(&base), 3);
-        let intents = scene_plan(&v);
+        let intents = schedule_changes(&v);
         let staged = stage(&v, &intents, &HashSet::new(), &|_| false, LIMITS);
         for c in &staged[0].transaction.mutations {
             if let Mutation::Put {
@@ -286,7 +286,7 @@
             ..base
         };
         v.put(&keys::job("req-2"), &record(&service), 5);
-        scene_plan(&v)
+        schedule_changes(&v)
     };
     let stops = build(Priority::Low);
     assert!(
@@ -343,7 +343,7 @@
             .flat_map(|s| s.transaction.mutations)
             .collect::<Vec<_>>()
     };
-    let placed = changes(&v, &scene_plan(&v));
+    let placed = changes(&v, &schedule_changes(&v));
     for c in placed {
         if let Mutation::Put {
             key: k, value: x, ..
@@ -353,7 +353,7 @@
         }
     }
     assert_eq!(v.jobs["req-1"].placed, 2);
-    assert_eq!(scene_plan(&v), vec![], "nothing to do while it runs");
+    assert_eq!(schedule_changes(&v), vec![], "nothing to do while it runs");
 
     let job: coppergw::jobs::model::JobId = "req-1".into();
     let done = changes(
@@ -373,7 +373,7 @@
         keys::machine("m-2"),
         to_value(&machine(MachineState::Draining)),
     );
-    let graces: Vec<_> = scene_plan(&v)
+    let graces: Vec<_> = schedule_changes(&v)
         .into_iter()
         .map(|i| match i {
             JobChange::Stop { index, grace, .. } => (index, grace),
@@ -410,7 +410,7 @@
             put(&mut v, k, x);
         }
     }
-    let stops = scene_plan(&v);
+    let stops = schedule_changes(&v);
     assert!(
         matches!(
             stops.as_slice(),
@@ -459,11 +459,12 @@
         let of = jobs.filter(|j| v.jobs[*j].spec.kind == kind);
         of.cloned().collect()
     };
-    let whole = scene_plan(&v);
+    let whole = schedule_changes(&v);
     let services = placed(&whole, JobKind::Service);
     let arrays = placed(&whole, JobKind::Array);
     assert_eq!((services.len(), arrays.len()), (10, 10));
-    let few = |jobs, busy: &dyn Fn(&JobId) -> bool| plan_for(&v, Some(Writes { jobs, busy }));
+    let few =
+        |jobs, busy: &dyn Fn(&JobId) -> bool| schedule_with_limit(&v, Some(Writes { jobs, busy }));
     let some = few(3, &|_| false);
     assert_eq!(placed(&some, JobKind::Array), arrays[..3]);
     assert_eq!(placed(&some, JobKind::Service), services[..3]);
@@ -500,7 +501,7 @@
 
 /// What each job gets, in the order of the plan.
 fn given(v: &ClusterState) -> Vec<(String, usize)> {
-    let list = scene_plan(v).into_iter();
+    let list = schedule_changes(v).into_iter();
     list.filter_map(|i| match i {
         JobChange::Place { job, tasks } => Some((job.to_string(), tasks.len())),
         _ => None,
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -1,4 +1,4 @@
-//! Jobs that are bound to zones, and machines that come where these are: what is lost in a zone is rented there.
+//! Jobs with zone constraints, and scale-out in the zones of these: what is lost in a zone is replaced there.
 
 mod common;
 
@@ -18,15 +18,15 @@
 const NOW: Micros = 500 * SECOND;
 
 /// A fleet over three zones of machines with 16 CPUs.
-struct Site(Store);
+struct TestCluster(Store);
 
-impl Site {
-    fn new() -> Site {
+impl TestCluster {
+    fn new() -> TestCluster {
         let mut s = Store::default();
         let mut t = machine_type("cpu", 16.0, 0.0);
         t.zones = vec!["a".into(), "b".into(), "c".into()];
         s.put(keys::TYPES.into(), &vec![t]);
-        Site(s)
+        TestCluster(s)
     }
 
     fn machine(&mut self, id: &str, zone: &str, state: MachineState) {
@@ -129,7 +129,7 @@
 /// may go anywhere: machines were rented for all of it where it was cheapest, and it waited there for good.
 #[test]
 fn what_is_bound_to_a_zone_is_rented_for_there() {
-    let mut s = Site::new();
+    let mut s = TestCluster::new();
     for k in 0..6 {
         s.machine(&format!("m-{k}"), "a", MachineState::Up);
     }
@@ -146,7 +146,7 @@
     assert!(d.scale_out.iter().any(|c| c.zone == "b" && !c.spot));
     let d = s.decide(&|zone, _| zone == "b");
     assert!(!zones(&d).contains(&"b") && !d.scale_out.is_empty());
-    let mut alone = Site::new();
+    let mut alone = TestCluster::new();
     alone.job("req-1", &bound(Priority::Low, 8, "b"), Vec::new());
     assert!(alone.decide(&|zone, _| zone == "b").scale_out.is_empty());
 }
@@ -154,7 +154,7 @@
 /// Room in its own zone is what counts: no machines come for what the zone has room for.
 #[test]
 fn what_has_room_in_its_zone_is_not_rented_for() {
-    let mut s = Site::new();
+    let mut s = TestCluster::new();
     s.machine("m-1", "b", MachineState::Up);
     s.machine("m-2", "b", MachineState::Booting);
     s.job("req-1", &bound(Priority::Normal, 8, "b"), Vec::new());
@@ -174,7 +174,7 @@
 #[test]
 fn what_has_to_be_spread_is_rented_for_where_it_may_go() {
     for kind in [JobKind::Service, JobKind::Array] {
-        let mut s = Site::new();
+        let mut s = TestCluster::new();
         s.machine("m-1", "a", MachineState::Up);
         let wide = JobSpec {
             kind,
@@ -203,7 +203,7 @@
             zone_spread: false,
             ..wide
         };
-        let mut s = Site::new();
+        let mut s = TestCluster::new();
         s.machine("m-1", "c", MachineState::Up);
         s.job("req-1", &close, vec![placed("m-1"), TaskState::Waiting(1)]);
         let full = job(Priority::High, 1, 12);
@@ -217,7 +217,7 @@
 #[test]
 fn room_on_closing_machines_is_for_what_waited_long() {
     let reopened = |waited: Micros| {
-        let mut s = Site::new();
+        let mut s = TestCluster::new();
         for k in 0..40 {
             let id = format!("m-{k}");
             s.machine(&id, "a", MachineState::Up);
@@ -251,7 +251,7 @@
         jobs in proptest::collection::vec((0usize..4, 0usize..2, 1u32..40), 1..10),
     ) {
         let names = ["a", "b", "c"];
-        let mut s = Site::new();
+        let mut s = TestCluster::new();
         for (k, (zone, boots)) in machines.iter().enumerate() {
             let state = if *boots { MachineState::Booting } else { MachineState::Up };
             s.machine(&format!("m-{k}"), names[*zone], state);
