--- /dev/null
+++ b/src/jobs/commit/cancellation.rs
@@ -0,0 +1,42 @@
+//! Writes a user's cancellation into the job's record.
+
+use super::block_writer::{BlockLayout, BlockWriter};
+use super::draft::{TransactionDraft, put};
+use super::limits::TransactionLimits;
+use crate::jobs::model::{JobId, StoredBlock};
+use crate::store::cluster_state::ClusterState;
+use crate::store::keys;
+use crate::wire::state::Transaction;
+
+/// The transaction that cancels a job, or a step towards it where the job's record has to be split
+/// first. `None` if the job is unknown here, or if not even that step fits into a transaction.
+pub fn cancel(view: &ClusterState, id: &JobId, limits: TransactionLimits) -> Option<Transaction> {
+    let job = view.jobs.get(id)?;
+    let mut spec = job.spec.as_ref().clone();
+    spec.cancelled = true;
+    let mut draft = TransactionDraft::default();
+    let key = keys::job(id);
+    draft.guard(view, key.clone());
+    match job.split.first() {
+        Some(slots_per_key) if *slots_per_key > 0 => {
+            let record = (spec, StoredBlock::Split(*slots_per_key));
+            draft.mutations.push(put(key, &record));
+        }
+        _ => {
+            let first = job.blocks.first()?;
+            let writer = BlockWriter {
+                view,
+                id,
+                job,
+                spec: &spec,
+                limits,
+            };
+            if writer.write(&mut draft, 0, first) == BlockLayout::NewlySplit
+                && draft.mutations.len() > limits.max_mutations
+            {
+                draft = writer.split_unchanged(0)?;
+            }
+        }
+    }
+    Some(draft.into_transaction())
+}
--- /dev/null
+++ b/src/jobs/commit/draft.rs
@@ -0,0 +1,49 @@
+//! A transaction while it is put together.
+
+use crate::store::cluster_state::ClusterState;
+use crate::wire::state::{Mutation, Precondition, Transaction};
+use crate::wire::to_value;
+use std::collections::BTreeMap;
+
+/// Estimated bytes of a job's specification, of a job's end or of the marker of a split block.
+pub(super) const RECORD_BYTES: usize = 512;
+
+/// Preconditions and mutations of one job, and an estimate of their size.
+#[derive(Default)]
+pub(super) struct TransactionDraft {
+    /// Keys and the versions that they must still have. Sorted, which fixes their order on the wire.
+    pub(super) preconditions: BTreeMap<String, u64>,
+    /// Mutations in the order in which they are written.
+    pub(super) mutations: Vec<Mutation>,
+    /// Estimated size of the values in bytes.
+    pub(super) bytes: usize,
+}
+
+impl TransactionDraft {
+    /// Makes the transaction conditional on a key being as `view` has it.
+    pub(super) fn guard(&mut self, view: &ClusterState, key: String) {
+        let version = view.version(&key);
+        self.preconditions.insert(key, version);
+    }
+
+    /// The finished transaction.
+    pub(super) fn into_transaction(self) -> Transaction {
+        Transaction {
+            preconditions: self
+                .preconditions
+                .into_iter()
+                .map(|(key, version)| Precondition { key, version })
+                .collect(),
+            mutations: self.mutations,
+        }
+    }
+}
+
+/// A write of a key without a lease.
+pub(super) fn put<T: serde::Serialize>(key: String, value: &T) -> Mutation {
+    Mutation::Put {
+        key,
+        value: to_value(value),
+        lease: None,
+    }
+}
