--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! Jobs: what users submit, ask about and withdraw.
+//! Jobs: the users' requests about them, their stored form, and the transactions that change them.
 
 pub mod api;
 pub mod commit;
--- /dev/null
+++ b/src/jobs/model/admission.rs
@@ -0,0 +1,214 @@
+//! Admission: checks a submission against the settings and the machine types, and refuses for good what
+//! is malformed or can never run.
+
+use super::{Dependencies, JobSpec, MAX_TASKS, Resources};
+use crate::settings::{Settings, Team, milli};
+use crate::time::{Micros, from_secs};
+use crate::wire::cloud::MachineType;
+use crate::wire::user::{JobKind, Submission, valid_id};
+use std::collections::BTreeMap;
+
+/// Amounts that differ by less are equal: they come as decimal fractions in floating point.
+const AMOUNT_TOLERANCE: f64 = 1e-6;
+/// Largest number of CPUs or GPUs of a task: far beyond any machine, and small enough for sums in
+/// thousandths not to overflow.
+const MAX_DEVICES: f64 = 1e6;
+/// Largest memory or image size in gigabytes, for the same reason.
+const MAX_GIGABYTES: f64 = 1e7;
+/// Longest duration in seconds, about 30 years.
+const MAX_SECONDS: f64 = 1e9;
+/// Longest class, team or image name in bytes.
+const MAX_NAME_BYTES: usize = 1024;
+
+/// Why a submission is refused for good.
+#[derive(Debug, PartialEq, thiserror::Error)]
+pub enum AdmissionError {
+    /// A field has no valid value; answered with status 400. Names the field.
+    #[error("malformed: {0}")]
+    Malformed(&'static str),
+    /// The job is well formed but can never run here; answered with status 422. Says why.
+    #[error("can never run: {0}")]
+    Impossible(&'static str),
+}
+
+/// Amounts and times of a submission that are proved to be in range.
+struct CheckedAmounts {
+    resources: Resources,
+    image_gb: f64,
+    estimated_run_time_s: f64,
+    checkpoint_interval_s: f64,
+    checkpoint_save_time_s: f64,
+    deadline_s: Option<f64>,
+}
+
+/// Checks a submission and gives the specification of the job. Its dependencies are not looked at.
+/// `now` is the wall-clock time of the submission.
+pub fn validate(
+    submission: &Submission,
+    settings: &Settings,
+    types: &BTreeMap<String, MachineType>,
+    now: Micros,
+) -> Result<JobSpec, AdmissionError> {
+    check_names(submission)?;
+    let amounts = CheckedAmounts::of(submission)?;
+    let team = settings
+        .team(&submission.team)
+        .ok_or(AdmissionError::Impossible("unknown team"))?;
+    let machine_types = known_machine_types(submission, types);
+    check_fits_a_machine(
+        submission,
+        &amounts.resources,
+        machine_types.as_deref(),
+        types,
+    )?;
+    check_team_limit(submission, &amounts.resources, team)?;
+    Ok(JobSpec {
+        class: submission.class.clone(),
+        team: submission.team.clone(),
+        kind: submission.kind,
+        priority: submission.priority,
+        task_count: submission.task_count,
+        resources: amounts.resources,
+        image: submission.image.clone(),
+        image_size: milli(amounts.image_gb),
+        machine_types,
+        zone: submission.zone.clone(),
+        single_zone: submission.single_zone,
+        zone_spread: submission.zone_spread,
+        allow_spot: submission.allow_spot,
+        estimated_run_time: from_secs(amounts.estimated_run_time_s),
+        checkpoint_interval: from_secs(amounts.checkpoint_interval_s),
+        checkpoint_save_time: from_secs(amounts.checkpoint_save_time_s),
+        deadline: amounts.deadline_s.map(from_secs),
+        submitted_at: now,
+        cancelled: false,
+        dependencies: Dependencies::default(),
+    })
+}
+
+/// Checks the id, the number of tasks and the names.
+fn check_names(submission: &Submission) -> Result<(), AdmissionError> {
+    if !valid_id(&submission.id) {
+        return Err(AdmissionError::Malformed("id"));
+    }
+    if submission.task_count == 0 || submission.task_count > MAX_TASKS {
+        return Err(AdmissionError::Malformed("number of tasks"));
+    }
+    let names = [
+        (&submission.class, "class"),
+        (&submission.team, "team"),
+        (&submission.image, "image"),
+    ];
+    for (name, field) in names {
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
+            return Err(AdmissionError::Malformed(field));
+        }
+    }
+    Ok(())
+}
+
+impl CheckedAmounts {
+    fn of(submission: &Submission) -> Result<CheckedAmounts, AdmissionError> {
+        let resources = Resources {
+            cpus: milli(in_range(submission.cpus, MAX_DEVICES, "CPUs")?),
+            gpus: milli(in_range(submission.gpus, MAX_DEVICES, "GPUs")?),
+            memory: milli(in_range(submission.memory_gb, MAX_GIGABYTES, "memory")?),
+        };
+        let image_gb = in_range(submission.image_gb, MAX_GIGABYTES, "image size")?;
+        let seconds = |amount: f64, field| in_range(amount, MAX_SECONDS, field);
+        Ok(CheckedAmounts {
+            resources,
+            image_gb,
+            estimated_run_time_s: seconds(submission.estimated_run_time_s, "estimate")?,
+            checkpoint_interval_s: seconds(
+                submission.checkpoint_interval_s,
+                "checkpoint interval",
+            )?,
+            checkpoint_save_time_s: seconds(submission.checkpoint_save_time_s, "time to save")?,
+            deadline_s: submission
+                .deadline_s
+                .map(|deadline| seconds(deadline, "deadline"))
+                .transpose()?,
+        })
+    }
+}
+
+fn in_range(amount: f64, max: f64, field: &'static str) -> Result<f64, AdmissionError> {
+    if amount.is_finite() && (0.0..=max).contains(&amount) {
+        Ok(amount)
+    } else {
+        Err(AdmissionError::Malformed(field))
+    }
+}
+
+/// The allowed machine types that exist, sorted: a record stays small whatever the list held.
+fn known_machine_types(
+    submission: &Submission,
+    types: &BTreeMap<String, MachineType>,
+) -> Option<Vec<String>> {
+    let names = submission.machine_types.as_ref()?;
+    let mut known: Vec<String> = names
+        .iter()
+        .filter(|name| types.contains_key(*name))
+        .cloned()
+        .collect();
+    known.sort();
+    known.dedup();
+    Some(known)
+}
+
+/// Checks that a task fits an empty machine of an allowed type in an allowed zone.
+fn check_fits_a_machine(
+    submission: &Submission,
+    resources: &Resources,
+    allowed: Option<&[String]>,
+    types: &BTreeMap<String, MachineType>,
+) -> Result<(), AdmissionError> {
+    let fits = types.values().any(|machine| {
+        // The amounts are compared as they were given as well: those that are stored are rounded.
+        let exact = [
+            (submission.cpus, machine.cpus),
+            (submission.gpus, machine.gpus),
+            (submission.memory_gb, machine.memory_gb),
+        ];
+        allowed.is_none_or(|names| names.contains(&machine.name))
+            && submission
+                .zone
+                .as_ref()
+                .is_none_or(|zone| machine.zones.contains(zone))
+            && Resources::of_machine(machine).fits(resources)
+            && exact
+                .iter()
+                .all(|(need, have)| *need <= *have + AMOUNT_TOLERANCE)
+    });
+    match fits {
+        true => Ok(()),
+        false => Err(AdmissionError::Impossible(
+            "a task fits no allowed machine type",
+        )),
+    }
+}
+
+/// Checks that the tasks that run at once, all of them but for arrays, fit the team's limit.
+fn check_team_limit(
+    submission: &Submission,
+    resources: &Resources,
+    team: &Team,
+) -> Result<(), AdmissionError> {
+    let tasks_at_once = match submission.kind {
+        JobKind::Array => 1,
+        _ => i64::from(submission.task_count),
+    };
+    let exceeds = |exact: f64, rounded: i64, max: i64| {
+        let thousandths = exact * tasks_at_once as f64 * 1000.0;
+        max > 0
+            && (rounded.saturating_mul(tasks_at_once) > max
+                || thousandths > max as f64 + AMOUNT_TOLERANCE)
+    };
+    if exceeds(submission.cpus, resources.cpus, team.cpus_max)
+        || exceeds(submission.gpus, resources.gpus, team.gpus_max)
+    {
+        return Err(AdmissionError::Impossible("more than the team's limit"));
+    }
+    Ok(())
+}
--- /dev/null
+++ b/src/jobs/model/mod.rs
@@ -0,0 +1,23 @@
+//! Jobs as they are stored and as the program keeps them: specification, admission, task states in
+//! blocks, the end of a job. Types and pure functions only; the state itself is in the state service,
+//! and the copy of it in [`ClusterState`](crate::store::cluster_state::ClusterState).
+
+mod admission;
+mod dependencies;
+mod packed_block;
+mod records;
+mod resources;
+mod spec;
+mod task_block;
+
+pub use admission::{AdmissionError, validate};
+pub use dependencies::{Dependencies, JobIdList};
+pub use records::{FinishedJob, JobRecord, StoredBlock, StoredJobRecord};
+pub use resources::{MachineUsage, Resources};
+pub use spec::JobSpec;
+pub use task_block::{
+    BLOCK, MAX_TASKS, Placement, TaskBlock, TaskState, blocks, fresh, parse_task, task_name,
+};
+
+/// Id of a job, chosen by its user.
+pub type JobId = crate::ids::Id;
--- /dev/null
+++ b/src/jobs/model/records.rs
@@ -0,0 +1,95 @@
+//! Stored values of a job: its record, its blocks in every form that was ever written, and its end.
+
+use super::packed_block::PackedBlock;
+use super::task_block::PlainState;
+use super::{BLOCK, JobSpec, TaskBlock};
+use crate::time::Micros;
+use serde::de::value::MapAccessDeserializer;
+use serde::de::{MapAccess, SeqAccess, Visitor};
+use serde::{Deserialize, Deserializer, Serialize, Serializer};
+use std::fmt;
+
+/// A block as it is stored. Every form will always be read; which one is written depends on what the
+/// other controllers read and on the limits of the state service.
+#[derive(Clone, Debug, PartialEq)]
+pub enum StoredBlock {
+    /// State by state: the only form that the first versions read.
+    Plain(TaskBlock),
+    /// Equal states share an entry.
+    Packed(TaskBlock),
+    /// The slots are in keys of their own; holds how many are in each.
+    Split(u32),
+}
+
+impl Serialize for StoredBlock {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        match self {
+            StoredBlock::Plain(block) => block.serialize(serializer),
+            StoredBlock::Packed(block) => PackedBlock::from(block).serialize(serializer),
+            StoredBlock::Split(slots_per_key) => {
+                PackedBlock::split(*slots_per_key).serialize(serializer)
+            }
+        }
+    }
+}
+
+impl<'de> Deserialize<'de> for StoredBlock {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<StoredBlock, D::Error> {
+        deserializer.deserialize_any(StoredBlockVisitor)
+    }
+}
+
+/// Tells the stored forms apart: a sequence is a plain block, a map a packed or split one.
+struct StoredBlockVisitor;
+
+impl<'de> Visitor<'de> for StoredBlockVisitor {
+    type Value = StoredBlock;
+
+    fn expecting(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str("a block")
+    }
+
+    fn visit_seq<A: SeqAccess<'de>>(self, mut states: A) -> Result<StoredBlock, A::Error> {
+        let mut block = TaskBlock::default();
+        while let Some(state) = states.next_element::<PlainState>()? {
+            block.0.push(state.into());
+        }
+        Ok(StoredBlock::Plain(block))
+    }
+
+    fn visit_map<A: MapAccess<'de>>(self, fields: A) -> Result<StoredBlock, A::Error> {
+        let packed = PackedBlock::deserialize(MapAccessDeserializer::new(fields))?;
+        Ok(match packed.slots_per_leaf {
+            0 => StoredBlock::Packed(packed.into()),
+            slots_per_key => StoredBlock::Split(slots_per_key.min(BLOCK)),
+        })
+    }
+}
+
+/// The value of a job's key: its specification and its first block, so that a small job is one key.
+/// An empty block stands for one of which nothing was written yet.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct JobRecord(pub JobSpec, pub TaskBlock);
+
+/// The same with the block in any stored form.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct StoredJobRecord(pub JobSpec, pub StoredBlock);
+
+/// How a job ended. Never deleted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct FinishedJob {
+    /// Whether it was cancelled; otherwise it completed.
+    #[serde(rename = "x")]
+    pub cancelled: bool,
+    /// Number of tasks that completed.
+    #[serde(rename = "d")]
+    pub done: u32,
+    /// Wall-clock time of the end, from which the waiting time of dependent jobs counts. 0 if the
+    /// version that wrote the value did not store it.
+    #[serde(rename = "at", default, skip_serializing_if = "is_unknown")]
+    pub finished_at: Micros,
+}
+
+fn is_unknown(finished_at: &Micros) -> bool {
+    *finished_at == 0
+}
--- /dev/null
+++ b/src/jobs/model/resources.rs
@@ -0,0 +1,111 @@
+//! Amounts of resources, and what the tasks on a machine use.
+
+use super::{JobSpec, MAX_TASKS};
+use crate::wire::cloud::MachineType;
+use crate::wire::user::JobKind;
+use serde::{Deserialize, Serialize};
+
+/// Resources of a task or machine, in thousandths: sums of integers do not drift.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Resources {
+    /// Thousandths of a CPU.
+    #[serde(rename = "c")]
+    pub cpus: i64,
+    /// Thousandths of a GPU.
+    #[serde(rename = "g")]
+    pub gpus: i64,
+    /// Thousandths of a gigabyte of memory.
+    #[serde(rename = "m")]
+    pub memory: i64,
+}
+
+impl Resources {
+    /// Whether `need` fits into these resources.
+    pub fn fits(&self, need: &Resources) -> bool {
+        self.cpus >= need.cpus && self.gpus >= need.gpus && self.memory >= need.memory
+    }
+
+    /// Takes `need` away; may become negative.
+    pub fn subtract(&mut self, need: &Resources) {
+        self.cpus -= need.cpus;
+        self.gpus -= need.gpus;
+        self.memory -= need.memory;
+    }
+
+    /// Gives `need` back.
+    pub fn add(&mut self, need: &Resources) {
+        self.cpus += need.cpus;
+        self.gpus += need.gpus;
+        self.memory += need.memory;
+    }
+
+    /// The resources of this many tasks together.
+    pub fn for_tasks(&self, task_count: i64) -> Resources {
+        Resources {
+            cpus: self.cpus * task_count,
+            gpus: self.gpus * task_count,
+            memory: self.memory * task_count,
+        }
+    }
+
+    /// CPUs, GPUs and memory, in this order.
+    pub fn amounts(&self) -> [i64; 3] {
+        [self.cpus, self.gpus, self.memory]
+    }
+
+    /// How many tasks that need `need` each fit, at most [`MAX_TASKS`].
+    pub fn count_fitting(&self, need: &Resources) -> i64 {
+        let count = |have: i64, need: i64| if need > 0 { have / need } else { i64::MAX };
+        count(self.cpus, need.cpus)
+            .min(count(self.gpus, need.gpus))
+            .min(count(self.memory, need.memory))
+            .clamp(0, i64::from(MAX_TASKS))
+    }
+
+    /// The resources of an empty machine.
+    pub fn of_machine(machine_type: &MachineType) -> Resources {
+        // A little is added so that a decimal that is just below a thousandth is not rounded down.
+        let thousandths = |amount: f64| (amount * 1000.0 + 1e-6).floor() as i64;
+        Resources {
+            cpus: thousandths(machine_type.cpus),
+            gpus: thousandths(machine_type.gpus),
+            memory: thousandths(machine_type.memory_gb),
+        }
+    }
+}
+
+/// What the tasks on one machine use together. Kept up to date as tasks come and go, so that no
+/// decision has to look at each of them.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct MachineUsage {
+    /// Resources in use.
+    pub used: Resources,
+    /// Number of service tasks.
+    pub services: u32,
+    /// CPUs of service tasks, in thousandths.
+    pub service_cpus: i64,
+    /// CPUs of array tasks that services may preempt, in thousandths.
+    pub preemptible_cpus: i64,
+    /// Number of backfill tasks, on machines with GPUs.
+    pub backfills: u32,
+}
+
+impl MachineUsage {
+    /// Adds one task of a job.
+    pub fn add(&mut self, spec: &JobSpec) {
+        self.used.add(&spec.resources);
+        self.services += u32::from(spec.kind == JobKind::Service);
+        self.service_cpus += spec.service_cpus();
+        self.preemptible_cpus += spec.preemptible_cpus();
+        self.backfills += u32::from(spec.backfill());
+    }
+
+    /// Removes one task of a job.
+    pub fn remove(&mut self, spec: &JobSpec) {
+        self.used.subtract(&spec.resources);
+        self.services -= u32::from(spec.kind == JobKind::Service);
+        self.service_cpus -= spec.service_cpus();
+        self.preemptible_cpus -= spec.preemptible_cpus();
+        self.backfills -= u32::from(spec.backfill());
+    }
+}
--- /dev/null
+++ b/src/jobs/model/spec.rs
@@ -0,0 +1,112 @@
+//! The specification of an accepted job, as it is stored in the job's record.
+
+use super::{Dependencies, Resources};
+use crate::time::Micros;
+use crate::wire::user::{JobKind, Priority};
+use serde::{Deserialize, Serialize};
+
+/// An accepted job.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct JobSpec {
+    /// Class, which the service-level objectives are set for.
+    #[serde(rename = "cl")]
+    pub class: String,
+    /// Name of the team that is charged.
+    #[serde(rename = "t")]
+    pub team: String,
+    /// Array, gang or service.
+    #[serde(rename = "k")]
+    pub kind: JobKind,
+    /// Priority of the class.
+    #[serde(rename = "r")]
+    pub priority: Priority,
+    /// Number of tasks.
+    #[serde(rename = "n")]
+    pub task_count: u32,
+    /// Resources of each task.
+    #[serde(rename = "q")]
+    pub resources: Resources,
+    /// Name of the container image.
+    #[serde(rename = "i")]
+    pub image: String,
+    /// Size of the image in thousandths of a gigabyte.
+    #[serde(rename = "ig")]
+    pub image_size: i64,
+    /// Names of the allowed machine types, sorted; `None` for all.
+    #[serde(rename = "ty")]
+    pub machine_types: Option<Vec<String>>,
+    /// The only allowed zone; `None` for all.
+    #[serde(rename = "z")]
+    pub zone: Option<String>,
+    /// Whether all tasks must be in one zone.
+    #[serde(rename = "oz")]
+    pub single_zone: bool,
+    /// Whether at most half of the tasks may be in one zone.
+    #[serde(rename = "sp")]
+    pub zone_spread: bool,
+    /// Whether spot machines are allowed.
+    #[serde(rename = "s")]
+    pub allow_spot: bool,
+    /// Run time of a task as its user estimates it.
+    #[serde(rename = "e")]
+    pub estimated_run_time: Micros,
+    /// Interval between checkpoints; 0 if tasks save none.
+    #[serde(rename = "cp")]
+    pub checkpoint_interval: Micros,
+    /// Time that saving a checkpoint takes.
+    #[serde(rename = "sv")]
+    pub checkpoint_save_time: Micros,
+    /// Time after the submission within which the job should be done.
+    #[serde(rename = "d")]
+    pub deadline: Option<Micros>,
+    /// Wall-clock time of the submission.
+    #[serde(rename = "at")]
+    pub submitted_at: Micros,
+    /// Whether its user cancelled it.
+    #[serde(rename = "x", default)]
+    pub cancelled: bool,
+    /// Jobs that must be done before any task of it starts, as far as they were not done when it was
+    /// submitted. Written only once every controller knows pipelines.
+    #[serde(rename = "w", default, skip_serializing_if = "Dependencies::is_empty")]
+    pub dependencies: Dependencies,
+}
+
+impl JobSpec {
+    /// Whether tasks may run on machines with GPUs without using these (backfill): they save
+    /// checkpoints, and every job that needs GPUs has a higher priority, so that they are preempted
+    /// when one comes or the machine is to be released. No other job without need of GPUs may occupy
+    /// so expensive a machine.
+    pub fn backfill(&self) -> bool {
+        self.resources.gpus == 0
+            && self.kind == JobKind::Array
+            && self.priority == Priority::Low
+            && self.checkpoint_interval > 0
+    }
+
+    /// CPUs of a task, in thousandths, if it is one of a service.
+    pub(super) fn service_cpus(&self) -> i64 {
+        match self.kind {
+            JobKind::Service => self.resources.cpus,
+            _ => 0,
+        }
+    }
+
+    /// CPUs of a task, in thousandths, if services may preempt it.
+    pub(super) fn preemptible_cpus(&self) -> i64 {
+        match self.kind {
+            JobKind::Array if self.priority >= Priority::Normal => self.resources.cpus,
+            _ => 0,
+        }
+    }
+
+    /// Whether tasks of both jobs count the same in [`MachineUsage`](super::MachineUsage) and towards
+    /// their team's quota.
+    pub fn weighs_as(&self, other: &JobSpec) -> bool {
+        self.task_count == other.task_count
+            && self.resources == other.resources
+            && self.kind == other.kind
+            && self.priority == other.priority
+            && (self.checkpoint_interval > 0) == (other.checkpoint_interval > 0)
+            && self.team == other.team
+    }
+}
--- a/src/jobs/pipelines.rs
+++ b/src/jobs/pipelines.rs
@@ -1,89 +1,93 @@
-//! Pipelines: what a submission may wait for, and what is told of a job. Pure.
+//! Pipelines: which jobs a submission may depend on, and the answer about a job. Pure functions of the
+//! cluster state.
 
 use super::model::{FinishedJob, JobId};
 use crate::store::cluster_state::ClusterState;
 use crate::wire::user::{JobAnswer, JobKind, Status};
 use std::collections::BTreeSet;
 
-/// So many of the jobs that a job waits for are shown.
-const SHOWN: usize = 20;
+/// Largest number of unfinished dependencies in an answer, which keeps it short.
+const MAX_SHOWN_DEPENDENCIES: usize = 20;
 
-/// What the view says of the jobs that a submission names.
+/// What the cluster state says about the jobs that a submission names as its dependencies.
 #[derive(Debug, PartialEq)]
 pub enum DependencyCheck {
-    /// These count: not those that are done, and of one that is cancelled nothing but that.
+    /// The dependencies to store: without those that are done; if one is cancelled, only that one,
+    /// since it decides how the new job ends.
     Accepted(Vec<JobId>),
-    /// Of these nothing is at hand: neither unfinished nor how they ended.
+    /// Neither unfinished jobs nor the ends of these are known here: they have to be read.
     Unknown(Vec<JobId>),
-    /// Answered 422.
+    /// The submission can never run; answered with status 422. Says why.
     Impossible(&'static str),
 }
 
-/// Looks at the jobs that a submission names.
+/// Checks the jobs that the submission `own` names.
 pub fn check_dependencies(view: &ClusterState, own: &str, names: &[String]) -> DependencyCheck {
     let names: BTreeSet<&str> = names.iter().map(String::as_str).collect();
     if names.contains(own) {
         return DependencyCheck::Impossible("waits for itself");
     }
-    let (mut needs, mut unknown) = (Vec::new(), Vec::new());
+    let mut dependencies = Vec::new();
+    let mut unknown = Vec::new();
     let mut cancelled = None;
-    for n in names {
-        match (view.ended(n), view.jobs.get(n)) {
-            (Some(f), _) if f.cancelled => cancelled = Some(n),
+    for name in names {
+        match (view.ended(name), view.jobs.get(name)) {
+            (Some(end), _) if end.cancelled => cancelled = Some(name),
             (Some(_), _) => {}
-            (None, Some(j)) if j.spec.kind == JobKind::Service => {
+            (None, Some(job)) if job.spec.kind == JobKind::Service => {
                 return DependencyCheck::Impossible("waits for a service");
             }
-            (None, Some(_)) => needs.push(n.into()),
-            (None, None) => unknown.push(n.into()),
+            (None, Some(_)) => dependencies.push(name.into()),
+            (None, None) => unknown.push(name.into()),
         }
     }
     match (unknown.is_empty(), cancelled) {
         (false, _) => DependencyCheck::Unknown(unknown),
-        (true, Some(n)) => DependencyCheck::Accepted(vec![n.into()]),
-        (true, None) => DependencyCheck::Accepted(needs),
+        (true, Some(name)) => DependencyCheck::Accepted(vec![name.into()]),
+        (true, None) => DependencyCheck::Accepted(dependencies),
     }
 }
 
-/// The answer of a job that is over.
-pub fn final_answer(id: &str, f: FinishedJob) -> JobAnswer {
+/// The answer about a job that has ended.
+pub fn final_answer(id: &str, finished: FinishedJob) -> JobAnswer {
     JobAnswer {
         id: id.into(),
-        status: if f.cancelled {
+        status: if finished.cancelled {
             Status::Cancelled
         } else {
             Status::Done
         },
-        done: f.done,
+        done: finished.done,
         running: 0,
         dependencies: Vec::new(),
     }
 }
 
-/// What the view says of a job. Only a final state may be told without a newer read; and nothing
-/// while something is unknown of the jobs that it needs (`ClusterState::unknown_above`).
+/// The answer about a job according to the cluster state; `None` if it does not know the job. Only a
+/// final state may be answered without a newer read, and nothing while a job that it depends on is
+/// unknown (`ClusterState::unknown_above`).
 pub fn answer(view: &ClusterState, id: &str) -> Option<JobAnswer> {
-    if let Some(f) = view.ended(id) {
-        return Some(final_answer(id, f));
+    if let Some(finished) = view.ended(id) {
+        return Some(final_answer(id, finished));
     }
-    let j = view.jobs.get(id)?;
+    let job = view.jobs.get(id)?;
     Some(JobAnswer {
         id: id.into(),
-        status: if j.cancelled() {
+        status: if job.cancelled() {
             Status::Cancelled
-        } else if j.placed > 0 {
+        } else if job.placed > 0 {
             Status::Running
         } else {
             Status::Pending
         },
-        done: j.done,
-        running: j.placed,
-        dependencies: j
+        done: job.done,
+        running: job.placed,
+        dependencies: job
             .dependencies
             .iter()
-            .filter(|n| view.ended(n).is_none())
-            .take(SHOWN)
-            .map(|n| n.to_string())
+            .filter(|dependency| view.ended(dependency).is_none())
+            .take(MAX_SHOWN_DEPENDENCIES)
+            .map(|dependency| dependency.to_string())
             .collect(),
     })
 }
