--- a/src/reconciliation/decide.rs
+++ b/src/reconciliation/decide.rs
@@ -1,259 +1,387 @@
-//! What one pass writes: which intents, in which order, as far as the budget of writes goes. Pure.
+//! What one pass writes: which changes, in which order, as far as the write budget goes.
+//!
+//! Pure but for [`WriteSchedule`], which remembers from pass to pass when what was due; only the
+//! reconciliation loop changes it.
 
+use super::write_delay::{STOPPED_DELAY, write_delay};
 use crate::ids::MachineId;
 use crate::jobs::commit::{HasTeamLimit, JobChange, StagedTransaction, TransactionLimits, stage};
-use crate::jobs::model::{JobId, Resources, TaskState};
-use crate::store::cluster_state::{ClusterState, Job};
+use crate::jobs::model::{JobId, Resources};
+use crate::store::cluster_state::ClusterState;
 use crate::time::{Micros, SECOND};
 use crate::wire::user::JobKind;
 use foldhash::{HashMap, HashMapExt, HashSet};
 use std::collections::BTreeMap;
 
-/// Arrays and gangs are placed this often: what became free meanwhile is one write.
+/// Interval between placements of arrays and gangs: what becomes free meanwhile is one write.
 const ARRAY_ROUND: Micros = 2 * SECOND / 5;
-/// Arrays get this share of a second's budget at the latest after this, whatever else waits.
-const ARRAY_LATEST: Micros = 2 * SECOND;
-const ARRAY_SHARE: f64 = 0.25;
-/// Exits of array tasks of which nobody waits to hear are written this much later, together.
-const LAZY: Micros = 2 * SECOND;
-const LAZY_MAX: Micros = 8 * SECOND;
-/// Ends of jobs that are written together at most.
-const ENDS: usize = 4;
-/// Exits that were asked for come in numbers: so much later one write takes them together.
-const ASKED: Micros = 3 * SECOND / 10;
-/// What must run again, or may end a job, is written after this.
-const SOON: Micros = 2 * SECOND / 5;
-/// Shares of the burst of writes that stay for what comes before: placements of arrays leave room
-/// for services and acceptances, bookkeeping also for arrays. Ends of jobs leave none: with 15 % kept
-/// back they starved while changes were short, and the next steps of pipelines with them.
+/// Arrays get their share of the budget at the latest after this, whatever else waits.
+const MAX_ARRAY_WAIT: Micros = 2 * SECOND;
+/// Share of a second's budget that arrays get then. A few writes place hundreds of tasks, so that
+/// this is enough for them never to starve behind a flood of services.
+const OVERDUE_ARRAY_SHARE: f64 = 0.25;
+/// Share of the burst that placements of arrays leave to services and accepted submissions. Job ends
+/// leave none: with a reserve kept back they starved while the budget was short, and the next steps
+/// of pipelines with them.
 const ARRAY_RESERVE: f64 = 0.25;
-/// See `ARRAY_RESERVE`.
+/// Share of the burst that bookkeeping leaves to everything else, arrays included.
 pub const BOOKKEEPING_RESERVE: f64 = 0.5;
-
-/// How long it can wait until what is known of a job's attempts is written.
-fn patience(j: &Job, lefts: &[JobChange]) -> Micros {
-    let done = |i: &JobChange| matches!(i, JobChange::AttemptEnded { done: true, .. });
-    let all = lefts.len() as u32 >= j.placed;
-    if j.cancelled() {
-        // Its user has the answer, and the room is known to be free.
-        return if all { SOON } else { LAZY };
-    }
-    if j.spec.kind != JobKind::Array {
-        return 0;
-    }
-    // Room that was made for someone: others see it only once it is written.
-    let asked = |i: &JobChange| match i {
-        JobChange::AttemptEnded { index, .. } => {
-            matches!(j.slot(*index), Some(TaskState::Placed(p)) if p.stop.is_some())
-        }
-        _ => false,
-    };
-    if lefts.iter().any(asked) {
-        return ASKED;
-    }
-    match lefts.iter().all(done) {
-        true if all && j.waiting == 0 => 0,
-        true => LAZY,
-        false => SOON,
-    }
-}
+/// Bookkeeping that has waited longer than this is written from half the reserve of arrays on.
+const MAX_BOOKKEEPING_WAIT: Micros = 8 * SECOND;
+/// Job ends that are staged together at most: a larger transaction would overdraw the budget by more.
+const ENDS_PER_TRANSACTION: usize = 4;
+/// A plan covers this many jobs for each write that the budget allows, as some of what it finds cannot
+/// be staged.
+const PLANNED_JOBS_PER_WRITE: usize = 2;
+/// Jobs that a plan covers beyond that, so that a budget near zero does not hide what could be staged.
+const EXTRA_PLANNED_JOBS: usize = 8;
 
 /// What a pass wants of a plan.
 pub struct PlanRequest<'a> {
-    /// The room of tasks that left.
+    /// Resources of tasks that have left their machine, although their blocks do not say so yet.
     pub freed: &'a HashMap<MachineId, Resources>,
-    /// Whether arrays take part.
+    /// Whether arrays are placed.
     pub arrays: bool,
-    /// Whether gangs and steps of pipelines do.
+    /// Whether gangs and pipeline steps with a deadline are placed.
     pub deadline_steps: bool,
-    /// For how many jobs something can be written; `None` for any number.
+    /// Number of jobs for which something can be written; `None` for any number.
     pub max_jobs: Option<usize>,
 }
 
-/// What makes the plan of a pass.
+/// Makes the plan of a pass.
 pub type Planner<'a> = &'a dyn Fn(&PlanRequest<'_>) -> Vec<JobChange>;
 
-/// A plan is made for so many jobs more than there are writes, times the writes: some of what it finds
-/// cannot be staged.
-const PLAN_TIMES: usize = 2;
-const PLAN_MORE: usize = 8;
+/// This controller's share of the state service's limit of mutations.
+#[derive(Clone, Copy, Debug)]
+pub struct WriteBudget {
+    /// Mutations that can be written at once; negative if the budget is overdrawn.
+    pub available: f64,
+    /// The most that `available` ever is.
+    pub burst: f64,
+}
 
 /// What a pass decides on.
 pub struct ReconcileInput<'a> {
-    /// The view.
+    /// The cluster state as this controller sees it.
     pub view: &'a ClusterState,
-    /// What machines' reports prove about attempts, and the blocks do not say yet.
+    /// What heartbeats prove about attempts and the blocks do not say yet, by machine.
     pub ended_attempts: &'a BTreeMap<MachineId, Vec<JobChange>>,
-    /// Jobs with a transaction under way.
+    /// Jobs with a transaction in flight.
     pub jobs_in_flight: &'a HashSet<JobId>,
-    /// Changes that could be written at once, and the most that this ever is.
-    pub write_budget: (f64, f64),
+    /// What may be written.
+    pub write_budget: WriteBudget,
     /// Limits of a transaction.
     pub limits: TransactionLimits,
-    /// Teams with limits.
+    /// Tells the teams with limits.
     pub has_team_limit: HasTeamLimit<'a>,
-    /// The plan.
+    /// Makes the plan.
     pub plan: Planner<'a>,
-    /// Now.
+    /// Monotonic time of the pass.
     pub now: Micros,
 }
 
-/// What is remembered from pass to pass.
+/// What is remembered from pass to pass about writes that wait.
 #[derive(Default)]
 pub struct WriteSchedule {
-    left_since: HashMap<JobId, Micros>,
-    arrays_at: Micros,
-    steps_at: Micros,
+    /// Since when a job has ended attempts that are not written.
+    unwritten_since: HashMap<JobId, Micros>,
+    last_array_round: Micros,
+    last_deadline_step_round: Micros,
+}
+
+/// Ended attempts of jobs that the view knows.
+struct EndedAttempts {
+    /// Resources that they leave, by machine.
+    freed: HashMap<MachineId, Resources>,
+    by_job: BTreeMap<JobId, Vec<JobChange>>,
+}
+
+/// A job with ended attempts whose write is due, and since when they are known.
+type DueJob<'a> = (Micros, &'a JobId);
+
+/// Writes that are due, apart from what the plan asks for.
+struct DueWrites<'a> {
+    /// Ends of jobs, and ends of attempts that someone waits for.
+    urgent: Vec<DueJob<'a>>,
+    /// The others.
+    bookkeeping: Vec<DueJob<'a>>,
+}
+
+/// What takes part in the plan of a pass.
+struct PlanRound {
+    arrays: bool,
+    deadline_steps: bool,
+    /// Whether arrays have waited too long and may overdraw the budget.
+    arrays_overdue: bool,
+    /// Share of the burst that placements of arrays leave to others.
+    array_reserve: f64,
+}
+
+/// The changes of a plan, in the order of their writes.
+struct PlannedChanges {
+    /// For services, gangs and pipeline steps with a deadline: a list a job, in the plan's order.
+    first: Vec<Vec<JobChange>>,
+    /// Placements of other arrays.
+    arrays: Vec<JobChange>,
 }
 
 impl WriteSchedule {
-    /// The transactions of this pass, most worth first, as far as the budget of writes goes. What is
+    /// The transactions of this pass, the most urgent first, as far as the write budget goes. What is
     /// left out is found again in the next pass.
-    pub fn decide(&mut self, p: &ReconcileInput<'_>) -> Vec<StagedTransaction> {
-        let (view, now) = (p.view, p.now);
-        let mut freed: HashMap<MachineId, Resources> = HashMap::new();
-        let mut by_job: BTreeMap<JobId, Vec<JobChange>> = BTreeMap::new();
-        for (machine, list) in p.ended_attempts {
-            for i in list {
-                if let Some(j) = view.jobs.get(i.job()) {
-                    freed
-                        .entry(machine.clone())
-                        .or_default()
-                        .add(&j.spec.resources);
-                    by_job.entry(i.job().clone()).or_default().push(i.clone());
-                }
-            }
+    pub fn decide(&mut self, input: &ReconcileInput<'_>) -> Vec<StagedTransaction> {
+        let ended = EndedAttempts::collect(input);
+        let mut due = self.due_writes(input, &ended);
+        let Some(round) = self.next_round(input) else {
+            return Vec::new();
+        };
+        let planned = plan(input, &ended, &round);
+        let mut stager = Stager::new(input);
+        for changes in &planned.first {
+            stager.add(changes, 0.0);
+        }
+        for jobs in due.urgent.chunks(ENDS_PER_TRANSACTION) {
+            stager.add(&ended.with_finalize(jobs), 0.0);
+        }
+        for placement in planned.arrays {
+            let mut changes = ended.of_job(placement.job());
+            changes.push(placement);
+            stager.add(&changes, round.array_reserve);
+        }
+        due.bookkeeping.sort();
+        for (since, job) in due.bookkeeping {
+            let overdue = input.now.saturating_sub(since) > MAX_BOOKKEEPING_WAIT;
+            let reserve = match overdue {
+                true => ARRAY_RESERVE / 2.0,
+                false => BOOKKEEPING_RESERVE,
+            };
+            stager.add(&ended.by_job[job], reserve);
         }
-        let since = &mut self.left_since;
-        since.retain(|j, _| by_job.contains_key(j));
-        // Ends of jobs and exits that were asked for, those that others wait for and the longest known
-        // first: what is left out for want of writes must not be the same jobs each time.
-        let mut ends: Vec<(Micros, &JobId)> = Vec::new();
-        let mut books: Vec<(Micros, &JobId)> = Vec::new();
-        for (id, list) in &by_job {
-            let Some(j) = view.jobs.get(id) else { continue };
-            let at = *since.entry(id.clone()).or_insert(now);
-            let wait = patience(j, list);
-            if now.saturating_sub(at) >= wait {
-                if wait <= ASKED { &mut ends } else { &mut books }.push((at, id));
+        stager.staged
+    }
+
+    /// Finds the writes that are due. Urgent ones are sorted so that those that other jobs wait for
+    /// and the longest known come first: what is left out for want of budget must not be the same jobs
+    /// each time.
+    fn due_writes<'a>(
+        &mut self,
+        input: &ReconcileInput<'a>,
+        ended: &'a EndedAttempts,
+    ) -> DueWrites<'a> {
+        let view = input.view;
+        self.unwritten_since
+            .retain(|job, _| ended.by_job.contains_key(job));
+        let mut due = DueWrites {
+            urgent: Vec::new(),
+            bookkeeping: Vec::new(),
+        };
+        for (id, changes) in &ended.by_job {
+            let Some(job) = view.jobs.get(id) else {
+                continue;
+            };
+            let since = *self.unwritten_since.entry(id.clone()).or_insert(input.now);
+            let delay = write_delay(job, changes);
+            if input.now.saturating_sub(since) < delay {
+                continue;
+            }
+            match delay <= STOPPED_DELAY {
+                true => due.urgent.push((since, id)),
+                false => due.bookkeeping.push((since, id)),
             }
         }
-        // What is over, and what was withdrawn before it was placed.
-        ends.extend(view.index().finished.iter().map(|id| (0, id)));
-        ends.sort_by_key(|(at, id)| (!view.has_dependents(id), *at, *id));
-        let (mut level, burst) = p.write_budget;
-        let waited = now.saturating_sub(self.arrays_at);
-        let late = waited >= ARRAY_LATEST;
-        if level < 0.0 && !late {
-            // Nothing can be written, so nothing is worked out.
-            return Vec::new();
+        // Jobs that have ended, and those that were cancelled before they were placed.
+        let finished = &view.index().finished;
+        due.urgent.extend(finished.iter().map(|id| (0, id)));
+        due.urgent
+            .sort_by_key(|(since, id)| (!view.has_dependents(id), *since, *id));
+        due
+    }
+
+    /// What takes part in the plan of this pass. `None` while nothing can be written, so that nothing
+    /// needs to be worked out.
+    fn next_round(&mut self, input: &ReconcileInput<'_>) -> Option<PlanRound> {
+        let WriteBudget { available, burst } = input.write_budget;
+        let now = input.now;
+        let waited = now.saturating_sub(self.last_array_round);
+        let arrays_overdue = waited >= MAX_ARRAY_WAIT;
+        if available < 0.0 && !arrays_overdue {
+            return None;
         }
-        let arrays = waited >= ARRAY_ROUND && (late || level > burst * ARRAY_RESERVE);
-        // A few writes place hundreds of tasks: never starved by a flood of services.
-        let keep_arrays = if late {
-            ARRAY_RESERVE.min(level / burst - ARRAY_SHARE)
-        } else {
-            ARRAY_RESERVE
+        let arrays = waited >= ARRAY_ROUND && (arrays_overdue || available > burst * ARRAY_RESERVE);
+        let array_reserve = match arrays_overdue {
+            true => ARRAY_RESERVE.min(available / burst - OVERDUE_ARRAY_SHARE),
+            false => ARRAY_RESERVE,
         };
         if arrays {
-            self.arrays_at = now;
+            self.last_array_round = now;
         }
-        // Never arrays without steps: these come first, and would find their room taken.
-        let steps = arrays || now.saturating_sub(self.steps_at) >= ARRAY_ROUND;
-        if steps {
-            self.steps_at = now;
+        // Never arrays without pipeline steps: these come first, and would find their resources taken.
+        let deadline_steps =
+            arrays || now.saturating_sub(self.last_deadline_step_round) >= ARRAY_ROUND;
+        if deadline_steps {
+            self.last_deadline_step_round = now;
         }
-        let mut later: Vec<JobChange> = Vec::new();
-        // In the plan's order, each job's intents together.
-        let mut first: Vec<(JobId, Vec<JobChange>)> = Vec::new();
-        let mut places: HashMap<JobId, usize> = HashMap::new();
-        let wish = PlanRequest {
-            freed: &freed,
+        Some(PlanRound {
             arrays,
-            deadline_steps: steps,
-            // Arrays that are late have a share of their own, whatever stands before them.
-            max_jobs: (!late).then(|| level as usize * PLAN_TIMES + PLAN_MORE),
+            deadline_steps,
+            arrays_overdue,
+            array_reserve,
+        })
+    }
+}
+
+impl EndedAttempts {
+    fn collect(input: &ReconcileInput<'_>) -> EndedAttempts {
+        let mut ended = EndedAttempts {
+            freed: HashMap::new(),
+            by_job: BTreeMap::new(),
         };
-        for i in (p.plan)(&wish) {
-            // A step of a pipeline that has its deadline before it goes with services and gangs.
-            let array = matches!(&i, JobChange::Place { job, .. }
-            if view.jobs.get(job).is_some_and(|j| {
-                j.spec.kind == JobKind::Array && !j.is_deadline_step()
-            }));
-            if array {
-                later.push(i);
-                continue;
+        for (machine, changes) in input.ended_attempts {
+            for change in changes {
+                let Some(job) = input.view.jobs.get(change.job()) else {
+                    continue;
+                };
+                ended
+                    .freed
+                    .entry(machine.clone())
+                    .or_default()
+                    .add(&job.spec.resources);
+                ended
+                    .by_job
+                    .entry(change.job().clone())
+                    .or_default()
+                    .push(change.clone());
             }
-            let id = i.job().clone();
-            let k = *places.entry(id.clone()).or_insert_with(|| {
-                // A write of a block takes along what else is to be said of its job.
-                let known = by_job.get(&id).cloned().unwrap_or_default();
-                first.push((id, known));
-                first.len() - 1
-            });
-            first[k].1.push(i);
         }
-        let mut busy = p.jobs_in_flight.clone();
-        let mut out = Vec::new();
-        let mut add = |intents: &[JobChange], keep: f64| {
-            // Users who wait for an answer come before all of it. What cannot be written now is not
-            // even worked out.
-            if intents.is_empty() || level < burst * keep {
-                return;
-            }
-            for s in stage(view, intents, &busy, p.has_team_limit, p.limits) {
-                let n = s.transaction.mutations.len() as f64;
-                if level < burst * keep {
-                    return;
-                }
-                level -= n;
-                if tracing::enabled!(tracing::Level::DEBUG) {
-                    let of = |f: &dyn Fn(&JobChange) -> usize| intents.iter().map(f).sum::<usize>();
-                    let places = of(&|i| match i {
-                        JobChange::Place { tasks, .. } => tasks.len(),
-                        _ => 0,
-                    });
-                    let lefts = of(&|i| usize::from(matches!(i, JobChange::AttemptEnded { .. })));
-                    let stops = of(&|i| usize::from(matches!(i, JobChange::Stop { .. })));
-                    let jobs = s.jobs.len();
-                    let first = s.jobs.first();
-                    let class = first.and_then(|j| view.jobs.get(j)).map(|j| &*j.spec.class);
-                    let first = first.map(|j| &**j);
-                    tracing::debug!(
-                        keep, n, jobs, places, lefts, stops, level, first, class, "staged"
-                    );
-                }
-                busy.extend(s.jobs.iter().cloned());
-                out.push(s);
-            }
-        };
-        for (_, list) in &first {
-            add(list, 0.0);
+        ended
+    }
+
+    /// A job's ended attempts: whatever else is written of a job takes them along.
+    fn of_job(&self, job: &JobId) -> Vec<JobChange> {
+        self.by_job.get(job).cloned().unwrap_or_default()
+    }
+
+    /// The changes that write the ended attempts of jobs, and their ends where they have ended.
+    fn with_finalize(&self, jobs: &[DueJob<'_>]) -> Vec<JobChange> {
+        jobs.iter()
+            .flat_map(|(_, id)| {
+                let ended = self.by_job.get(*id).into_iter().flatten().cloned();
+                ended.chain([JobChange::Finalize { job: (*id).clone() }])
+            })
+            .collect()
+    }
+}
+
+/// Makes the plan and sorts its changes by urgency.
+fn plan(input: &ReconcileInput<'_>, ended: &EndedAttempts, round: &PlanRound) -> PlannedChanges {
+    let writes = input.write_budget.available as usize;
+    let changes = (input.plan)(&PlanRequest {
+        freed: &ended.freed,
+        arrays: round.arrays,
+        deadline_steps: round.deadline_steps,
+        // Overdue arrays have a share of their own, whatever stands before them.
+        max_jobs: (!round.arrays_overdue)
+            .then(|| writes * PLANNED_JOBS_PER_WRITE + EXTRA_PLANNED_JOBS),
+    });
+    let mut planned = PlannedChanges {
+        first: Vec::new(),
+        arrays: Vec::new(),
+    };
+    let mut positions: HashMap<JobId, usize> = HashMap::new();
+    for change in changes {
+        if places_array(input.view, &change) {
+            planned.arrays.push(change);
+            continue;
+        }
+        let job = change.job();
+        let position = *positions.entry(job.clone()).or_insert_with(|| {
+            planned.first.push(ended.of_job(job));
+            planned.first.len() - 1
+        });
+        planned.first[position].push(change);
+    }
+    planned
+}
+
+/// Whether a change places tasks of an array. Arrays that are pipeline steps with a deadline are
+/// written with services and gangs.
+fn places_array(view: &ClusterState, change: &JobChange) -> bool {
+    matches!(change, JobChange::Place { job, .. } if view.jobs.get(job).is_some_and(|job| {
+        job.spec.kind == JobKind::Array && !job.is_deadline_step()
+    }))
+}
+
+/// Stages changes as long as the write budget lasts.
+struct Stager<'a> {
+    input: &'a ReconcileInput<'a>,
+    /// What is left of the budget.
+    available: f64,
+    /// Jobs with a transaction in flight, or one of this pass.
+    busy: HashSet<JobId>,
+    staged: Vec<StagedTransaction>,
+}
+
+impl<'a> Stager<'a> {
+    fn new(input: &'a ReconcileInput<'a>) -> Stager<'a> {
+        Stager {
+            input,
+            available: input.write_budget.available,
+            busy: input.jobs_in_flight.clone(),
+            staged: Vec::new(),
         }
-        for chunk in ends.chunks(ENDS) {
-            let list: Vec<JobChange> = chunk
-                .iter()
-                .flat_map(|(_, id)| {
-                    let known = by_job.get(*id).into_iter().flatten().cloned();
-                    known.chain([JobChange::Finalize { job: (*id).clone() }])
-                })
-                .collect();
-            add(&list, 0.0);
+    }
+
+    /// Stages changes while the budget is not below this share of its burst. Users who wait for an
+    /// answer come before all of it, and what cannot be written now is not even worked out.
+    fn add(&mut self, changes: &[JobChange], reserve: f64) {
+        let input = self.input;
+        let min_available = input.write_budget.burst * reserve;
+        if changes.is_empty() || self.available < min_available {
+            return;
         }
-        for i in later {
-            let mut list = by_job.get(i.job()).cloned().unwrap_or_default();
-            list.push(i);
-            add(&list, keep_arrays);
+        let transactions = stage(
+            input.view,
+            changes,
+            &self.busy,
+            input.has_team_limit,
+            input.limits,
+        );
+        for transaction in transactions {
+            if self.available < min_available {
+                return;
+            }
+            self.available -= transaction.transaction.mutations.len() as f64;
+            self.log(changes, &transaction, reserve);
+            self.busy.extend(transaction.jobs.iter().cloned());
+            self.staged.push(transaction);
         }
-        books.sort();
-        for (at, id) in books {
-            let keep = if now.saturating_sub(at) > LAZY_MAX {
-                ARRAY_RESERVE / 2.0
-            } else {
-                BOOKKEEPING_RESERVE
-            };
-            add(&by_job[id], keep);
+    }
+
+    fn log(&self, changes: &[JobChange], staged: &StagedTransaction, reserve: f64) {
+        if !tracing::enabled!(tracing::Level::DEBUG) {
+            return;
         }
-        out
+        let count = |test: fn(&JobChange) -> usize| changes.iter().map(test).sum::<usize>();
+        let placements = count(|change| match change {
+            JobChange::Place { tasks, .. } => tasks.len(),
+            _ => 0,
+        });
+        let ended = count(|change| usize::from(matches!(change, JobChange::AttemptEnded { .. })));
+        let stops = count(|change| usize::from(matches!(change, JobChange::Stop { .. })));
+        let first_job = staged.jobs.first();
+        let class = first_job
+            .and_then(|id| self.input.view.jobs.get(id))
+            .map(|job| &*job.spec.class);
+        tracing::debug!(
+            reserve,
+            mutations = staged.transaction.mutations.len(),
+            jobs = staged.jobs.len(),
+            placements,
+            ended,
+            stops,
+            available = self.available,
+            first_job = first_job.map(|id| &**id),
+            class,
+            "transaction staged"
+        );
     }
 }
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -1,354 +1,321 @@
-//! The control loop: what follows from the view and the reports, pass by pass.
+//! The reconciliation loop: compares the cluster state with the machines' heartbeats, pass by pass, and
+//! writes and commands what follows.
+//!
+//! Owns [`Reconciler`]: when which step ran last, the jobs with a transaction in flight, and what
+//! heartbeats prove about attempts before it is written. Only this loop changes it.
 
 pub mod decide;
+mod planning;
+mod write_delay;
 
-use crate::autoscaler::model::{MachineRecord, MachineState};
 use crate::controller::Controller;
 use crate::ids::MachineId;
 use crate::jobs::commit::{JobChange, StagedTransaction, collect_garbage};
 use crate::jobs::model::JobId;
-use crate::membership::{SHARD_COUNT, shard_of};
-use crate::scheduling::{self, SchedulableMachine, SchedulingInput, Writes};
+use crate::membership::SHARD_COUNT;
 use crate::store::client::TransactionOutcome;
-use crate::store::cluster_state::{ClusterState, Job};
-use crate::time::{MILLI, Micros, SECOND, wall};
-use crate::wire::user::JobKind;
+use crate::store::cluster_state::ClusterState;
+use crate::time::{MILLI, Micros, SECOND};
 use crate::workers::{self, WorkerState};
-use decide::{BOOKKEEPING_RESERVE, PlanRequest, ReconcileInput, WriteSchedule};
+use decide::{BOOKKEEPING_RESERVE, PlanRequest, ReconcileInput, WriteBudget, WriteSchedule};
 use foldhash::HashSet;
 use futures_lite::FutureExt;
-use std::cell::{Cell, OnceCell, RefCell};
+use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Pause between two control passes: at least this, and this many times what the pass took, so that
-/// reports and users are answered while there is much to decide.
-const PASS: Micros = 40 * MILLI;
-const PASS_REST: u64 = 4;
-/// A control pass at least this often.
-const IDLE_PASS: Micros = SECOND / 5;
-/// Machines that are not as they should be, or silent, are compared with their blocks this often.
-const CHECK: Micros = SECOND;
-/// Every machine is, and at most this part of the time goes into it. What changes meanwhile is seen when
-/// it does.
-const SWEEP: Micros = 5 * SECOND;
+/// Shortest pause between two passes.
+const MIN_PAUSE: Micros = 40 * MILLI;
+/// The pause is at least this many times what the pass took, so that heartbeats and users are answered
+/// while there is much to decide.
+const PAUSE_PER_PASS_TIME: u64 = 4;
+/// Longest wait for a change before a pass runs without one.
+const IDLE_PASS_INTERVAL: Micros = SECOND / 5;
+/// Machines that are unsettled or silent are compared with their task blocks this often.
+const UNSETTLED_CHECK_INTERVAL: Micros = SECOND;
+/// Every machine is compared with its task blocks this often. What changes meanwhile is seen when it
+/// changes.
+const FULL_SWEEP_INTERVAL: Micros = 5 * SECOND;
+/// The time between two full sweeps is at least this many times what the last one took, so that a
+/// large cluster does not spend all its processor time on them.
+const SWEEP_INTERVAL_PER_SWEEP_TIME: u64 = 12;
 /// Silent machines are looked for, and machines' keys written, this often.
-const SILENT: Micros = SECOND / 5;
-const SWEEP_REST: u64 = 12;
-/// Others' waiting tasks are taken only after this: their owner comes first.
-const TAKE_SERVICE: Micros = 6 * SECOND / 5;
-const TAKE_ARRAY: Micros = 3 * SECOND;
-/// A step of a pipeline has little time to lose.
-const TAKE_PIPED: Micros = 4 * SECOND / 5;
-/// The same if their owner is not there.
-const TAKE_ORPHAN: Micros = 3 * SECOND / 10;
-/// The owner of this part places gangs.
-const GANG_SHARD: u32 = 0;
-/// The state service's limits are shared evenly by the controllers that are alive; a little stays
-/// for requests that are not counted here (leases) and for clocks that differ.
+const SILENCE_CHECK_INTERVAL: Micros = SECOND / 5;
+/// Pause after a transaction that the state service refused: nothing is known to change by itself.
+const REFUSED_PAUSE: Micros = SECOND / 8;
+/// Share of the state service's request limit that the controllers that are alive divide evenly. The
+/// rest is for requests that are not counted here (lease renewals) and for clocks that differ.
 pub const REQUEST_SHARE: f64 = 0.94;
-/// The same for changes.
+/// The same for the limit of mutations.
 pub const WRITE_SHARE: f64 = 0.97;
 
-/// What the control loop remembers.
+/// What the reconciliation loop remembers.
 #[derive(Default)]
 pub struct Reconciler {
-    rounds: RefCell<WriteSchedule>,
-    /// Jobs with a transaction under way.
-    busy: RefCell<HashSet<JobId>>,
-    /// What machines' reports prove about attempts, and the blocks do not say yet.
-    lefts: RefCell<BTreeMap<MachineId, Vec<JobChange>>>,
-    checked: Cell<Micros>,
-    swept: Cell<Micros>,
-    sweep_every: Cell<Micros>,
-    machines_checked_at: Cell<Micros>,
-    adopted: RefCell<Adopted>,
+    write_schedule: RefCell<WriteSchedule>,
+    /// Jobs with a transaction in flight.
+    jobs_in_flight: RefCell<HashSet<JobId>>,
+    /// What heartbeats prove about attempts and the blocks do not say yet, by machine.
+    ended_attempts: RefCell<BTreeMap<MachineId, Vec<JobChange>>>,
+    last_unsettled_check: Cell<Micros>,
+    last_full_sweep: Cell<Micros>,
+    full_sweep_interval: Cell<Micros>,
+    last_silence_check: Cell<Micros>,
+    adoption: RefCell<Adoption>,
 }
 
-/// The machines' epoch and our terms when machines were adopted last, and when that was.
+/// What machines were last adopted on, and when.
 #[derive(Default)]
-struct Adopted {
-    epoch: u64,
+struct Adoption {
+    machines_epoch: u64,
+    /// Our term of each shard that we owned.
     terms: Vec<Option<u64>>,
     at: Micros,
 }
 
+/// What a pass looks at.
+struct PassScope {
+    now: Micros,
+    /// Our term of each shard that we own.
+    terms: Vec<Option<u64>>,
+    /// Whether every machine is looked at.
+    full_sweep: bool,
+    /// Whether unsettled machines are.
+    unsettled_check: bool,
+    /// Machines whose heartbeat or tasks changed, and those that are unsettled if it is time.
+    changed: HashSet<MachineId>,
+}
+
 impl Controller {
-    /// Runs passes, one when something changed and one a while after the last.
+    /// Runs passes: one when something changed, and one a while after the last.
     pub async fn reconcile_loop(self: Rc<Controller>) {
         loop {
             if !self.watch_cache.notifier().take_notified() {
-                let l = self.watch_cache.notifier().listen();
+                let listener = self.watch_cache.notifier().listen();
                 if !self.watch_cache.notifier().take_notified() {
-                    l.or(self.sleep(IDLE_PASS)).await;
+                    listener.or(self.sleep(IDLE_PASS_INTERVAL)).await;
                     self.watch_cache.notifier().take_notified();
                 }
             }
-            let begun = self.clock.now();
+            let started = self.clock.now();
             if self.watch_cache.loaded() {
                 self.pass();
             }
-            let took = self.clock.now().saturating_sub(begun);
-            self.sleep(PASS.max(took * PASS_REST)).await;
+            let took = self.clock.now().saturating_sub(started);
+            self.sleep(MIN_PAUSE.max(took * PAUSE_PER_PASS_TIME)).await;
         }
     }
 
-    /// Terms under which we drive each part.
+    /// Our term of each shard; `None` for shards that we do not own.
     pub fn terms(&self, view: &ClusterState) -> Vec<Option<u64>> {
-        (0..SHARD_COUNT).map(|p| self.term(view, p)).collect()
+        (0..SHARD_COUNT)
+            .map(|shard| self.term(view, shard))
+            .collect()
     }
 
-    /// One pass: everything that follows from the view and the reports as they are now. Between two
-    /// sweeps only machines are looked at that were heard, or whose tasks changed.
+    /// One pass: everything that follows from the cluster state and the heartbeats as they are now.
     fn pass(self: &Rc<Controller>) {
-        let now = self.clock.now();
-        let terms = self.terms(&self.watch_cache.view());
-        let full =
-            now.saturating_sub(self.reconciler.swept.get()) >= self.reconciler.sweep_every.get();
-        let mut changed = self.workers.take_changed();
-        changed.extend(self.watch_cache.take_touched());
-        let check = now.saturating_sub(self.reconciler.checked.get()) >= CHECK;
-        if check {
-            self.reconciler.checked.set(now);
-            changed.extend(
-                self.workers
-                    .unsettled(self.settings.heartbeat_interval * 5 / 4, now),
-            );
-            changed.extend(self.reconciler.lefts.borrow().keys().cloned());
-        }
-        let mut staged: Vec<StagedTransaction> = Vec::new();
-        {
+        let mut scope = self.pass_scope();
+        let staged = {
             let view = self.watch_cache.view();
-            self.share(&view);
-            // Machines come and go all the time on a large fleet.
-            let came = {
-                let adopted = self.reconciler.adopted.borrow();
-                let due = now.saturating_sub(adopted.at) >= SILENT;
-                adopted.terms != terms || (due && adopted.epoch != view.machines_epoch)
-            };
-            if check || came {
-                self.adopt_machines(&view, &terms, now);
-                *self.reconciler.adopted.borrow_mut() = Adopted {
-                    epoch: view.machines_epoch,
-                    terms: terms.clone(),
-                    at: now,
-                };
-            }
+            self.update_budget_share(&view);
+            self.adopt_machines_if_due(&view, &scope);
             if self.watch_cache.current() {
-                self.look(&view, full, &changed, now);
-                let capped = |t: &str| self.settings.team(t).is_some_and(|t| t.capped());
-                let plan = |wish: &PlanRequest<'_>| self.plan(&view, &terms, wish, now);
-                staged = self.reconciler.rounds.borrow_mut().decide(&ReconcileInput {
-                    view: &view,
-                    ended_attempts: &self.reconciler.lefts.borrow(),
-                    jobs_in_flight: &self.reconciler.busy.borrow(),
-                    write_budget: self.watch_cache.client().write_level(),
-                    limits: self.limits(),
-                    has_team_limit: &capped,
-                    plan: &plan,
-                    now,
-                });
+                self.collect_ended_attempts(&view, &scope);
+                self.decide(&view, &scope)
+            } else {
+                Vec::new()
             }
+        };
+        self.check_silence_if_due(&mut scope);
+        for transaction in staged {
+            self.spawn_commit(transaction);
         }
-        if full || now.saturating_sub(self.reconciler.machines_checked_at.get()) >= SILENT {
-            self.reconciler.machines_checked_at.set(now);
-            self.write_machine_records(now);
-            self.overdue(now, &mut changed);
+        let only = (!scope.full_sweep).then_some(&scope.changed);
+        self.drive(scope.now, only);
+        if scope.full_sweep {
+            let took = self.clock.now().saturating_sub(scope.now);
+            let interval = FULL_SWEEP_INTERVAL.max(took * SWEEP_INTERVAL_PER_SWEEP_TIME);
+            self.reconciler.last_full_sweep.set(scope.now);
+            self.reconciler.full_sweep_interval.set(interval);
         }
-        for s in staged {
-            self.reconciler
-                .busy
-                .borrow_mut()
-                .extend(s.jobs.iter().cloned());
-            let n = self.clone();
-            self.executor
-                .spawn(async move {
-                    n.commit(&s).await;
-                    let mut busy = n.reconciler.busy.borrow_mut();
-                    for j in &s.jobs {
-                        busy.remove(j);
-                    }
-                    drop(busy);
-                    n.watch_cache.notifier().notify();
-                })
-                .detach();
+    }
+
+    /// Decides what a pass looks at. Between two full sweeps that is only machines that sent a
+    /// heartbeat or whose tasks changed, and now and then the unsettled ones.
+    fn pass_scope(&self) -> PassScope {
+        let now = self.clock.now();
+        let reconciler = &self.reconciler;
+        let terms = self.terms(&self.watch_cache.view());
+        let full_sweep = now.saturating_sub(reconciler.last_full_sweep.get())
+            >= reconciler.full_sweep_interval.get();
+        let mut changed = self.workers.take_changed();
+        changed.extend(self.watch_cache.take_touched());
+        let unsettled_check =
+            now.saturating_sub(reconciler.last_unsettled_check.get()) >= UNSETTLED_CHECK_INTERVAL;
+        if unsettled_check {
+            reconciler.last_unsettled_check.set(now);
+            // Silent: the next heartbeat is overdue by a quarter of the interval.
+            let silent_after = self.settings.heartbeat_interval * 5 / 4;
+            changed.extend(self.workers.unsettled(silent_after, now));
+            changed.extend(reconciler.ended_attempts.borrow().keys().cloned());
         }
-        self.drive(now, (!full).then_some(&changed));
-        if full {
-            let took = self.clock.now().saturating_sub(now);
-            self.reconciler.swept.set(now);
-            self.reconciler
-                .sweep_every
-                .set(SWEEP.max(took * SWEEP_REST));
+        PassScope {
+            now,
+            terms,
+            full_sweep,
+            unsettled_check,
+            changed,
         }
     }
 
-    /// Keeps our share of the state service's limits: those who are alive share them.
-    fn share(&self, view: &ClusterState) {
-        let n = view.members.len().clamp(1, self.settings.peers.len() + 1) as f64;
-        let l = self.state_limits();
-        self.watch_cache
-            .client()
-            .share(l.rps * REQUEST_SHARE / n, l.write_rps * WRITE_SHARE / n);
+    /// Keeps our share of the state service's limits: controllers that are alive divide them evenly.
+    fn update_budget_share(&self, view: &ClusterState) {
+        let alive = view.members.len().clamp(1, self.settings.peers.len() + 1) as f64;
+        let limits = self.state_limits();
+        self.watch_cache.client().share(
+            limits.rps * REQUEST_SHARE / alive,
+            limits.write_rps * WRITE_SHARE / alive,
+        );
+    }
+
+    /// Adopts machines of our shards: at every check, at once when our terms change, and soon after
+    /// machines come or go, which on a large cluster they do all the time.
+    fn adopt_machines_if_due(&self, view: &ClusterState, scope: &PassScope) {
+        let changed = {
+            let last = self.reconciler.adoption.borrow();
+            let due = scope.now.saturating_sub(last.at) >= SILENCE_CHECK_INTERVAL;
+            last.terms != scope.terms || (due && last.machines_epoch != view.machines_epoch)
+        };
+        if !scope.unsettled_check && !changed {
+            return;
+        }
+        self.adopt_machines(view, &scope.terms, scope.now);
+        *self.reconciler.adoption.borrow_mut() = Adoption {
+            machines_epoch: view.machines_epoch,
+            terms: scope.terms.clone(),
+            at: scope.now,
+        };
     }
 
-    /// What the machines' reports prove.
-    fn look(&self, view: &ClusterState, full: bool, changed: &HashSet<MachineId>, now: Micros) {
+    /// Collects what the machines' heartbeats prove about attempts.
+    fn collect_ended_attempts(&self, view: &ClusterState, scope: &PassScope) {
         let machines = self.workers.machines();
-        let mut lefts = self.reconciler.lefts.borrow_mut();
-        let mut one = |id: &MachineId, m: &WorkerState| {
-            let mut out = Vec::new();
-            workers::reconcile(view, id, m, self.settings.worker_lease, now, &mut out);
-            if out.is_empty() {
-                lefts.remove(id);
+        let mut ended = self.reconciler.ended_attempts.borrow_mut();
+        let mut collect = |id: &MachineId, worker: &WorkerState| {
+            let mut changes = Vec::new();
+            let lease = self.settings.worker_lease;
+            workers::reconcile(view, id, worker, lease, scope.now, &mut changes);
+            if changes.is_empty() {
+                ended.remove(id);
             } else {
-                lefts.insert(id.clone(), out);
+                ended.insert(id.clone(), changes);
             }
         };
-        if full {
-            for (id, m) in machines.iter() {
-                one(id, m);
+        if scope.full_sweep {
+            for (id, worker) in machines.iter() {
+                collect(id, worker);
             }
         } else {
-            for id in changed {
-                if let Some(m) = machines.get(id) {
-                    one(id, m);
+            for id in &scope.changed {
+                if let Some(worker) = machines.get(id) {
+                    collect(id, worker);
                 }
             }
         }
-        lefts.retain(|id, _| machines.contains_key(id));
+        ended.retain(|id, _| machines.contains_key(id));
     }
 
-    /// The plan for our machines, and of gangs if these fall to us.
-    fn plan(
-        &self,
-        view: &ClusterState,
-        terms: &[Option<u64>],
-        wish: &PlanRequest<'_>,
-        now: Micros,
-    ) -> Vec<JobChange> {
-        if terms.iter().all(Option::is_none) {
-            return Vec::new();
-        }
-        let machines = self.workers.machines();
-        // Jobs belong to parts as machines do.
-        let mine = |name: &str| terms[shard_of(name) as usize].is_some();
-        let gangs = wish.deadline_steps && terms[GANG_SHARD as usize].is_some();
-        let gang = |j: &Job| j.spec.kind == JobKind::Gang && j.queued() > 0;
-        let waits = gangs && view.waiting().any(|(_, j)| gang(j));
-        // Seldom asked for: without mute machines no plan looks at all of them.
-        let many_inbound_partitions = OnceCell::new();
-        let many = |m: &WorkerState| {
-            m.inbound_partition()
-                && *many_inbound_partitions
-                    .get_or_init(|| workers::many_inbound_partitions(&machines))
-        };
-        let mut services = view.waiting_services().filter(|(_, j)| j.queued() > 0);
-        let serves = services.any(|(id, _)| mine(id));
-        let open = |id: &MachineId, h: &MachineRecord| {
-            if !matches!(h.state, MachineState::Up | MachineState::Booting) {
-                return None;
-            }
-            match machines.get(id) {
-                Some(m) => {
-                    let session = workers::opens(
-                        m,
-                        h.session,
-                        many(m),
-                        (self.settings.heartbeat_interval, now),
-                    );
-                    session.map(|session| SchedulableMachine {
-                        session,
-                        owned: true,
-                    })
-                }
-                None if !(waits || serves) || mine(id) => None,
-                None => {
-                    let session = match h.state {
-                        MachineState::Up => Some(h.session),
-                        _ => self.membership.ready_at_peer(id, now),
-                    };
-                    session.map(|session| SchedulableMachine {
-                        session,
-                        owned: false,
-                    })
-                }
-            }
-        };
-        let in_backoff = |j: &str| {
-            if self.workers.backs_off(j, now) {
-                return true;
-            }
-            let Some(job) = view.jobs.get(j) else {
-                return true;
-            };
-            if mine(j) || job.spec.kind == JobKind::Gang {
-                return false;
-            }
-            let alive = view.shards.get(&shard_of(j)).is_some_and(|p| {
-                view.members
-                    .get(&p.owner)
-                    .is_some_and(|m| m.lease == p.lease)
-            });
-            let wait = match (alive, job.spec.kind) {
-                (false, _) => TAKE_ORPHAN,
-                _ if job.is_deadline_step() => TAKE_PIPED,
-                (true, JobKind::Service) => TAKE_SERVICE,
-                _ => TAKE_ARRAY,
-            };
-            wall().saturating_sub(job.waiting_since) < wait
-        };
-        let under_way = self.reconciler.busy.borrow();
-        let busy = |id: &JobId| under_way.contains(id);
-        scheduling::schedule(&SchedulingInput {
+    /// The transactions of this pass.
+    fn decide(&self, view: &ClusterState, scope: &PassScope) -> Vec<StagedTransaction> {
+        let has_team_limit =
+            |team: &str| self.settings.team(team).is_some_and(|team| team.capped());
+        let plan = |request: &PlanRequest<'_>| self.plan(view, &scope.terms, request, scope.now);
+        let reconciler = &self.reconciler;
+        let mut schedule = reconciler.write_schedule.borrow_mut();
+        schedule.decide(&ReconcileInput {
             view,
-            wall_clock: wall(),
-            teams: &self.settings.teams,
-            objectives: &self.settings.objectives,
-            schedulable: &open,
-            freed: wish.freed,
-            in_backoff: &in_backoff,
-            owns_job: &mine,
-            owns_machine: &mine,
-            place_gangs: gangs,
-            place_arrays: wish.arrays,
-            place_deadline_steps: wish.deadline_steps,
-            forecast: false,
-            write_limit: wish.max_jobs.map(|jobs| Writes { jobs, busy: &busy }),
+            ended_attempts: &reconciler.ended_attempts.borrow(),
+            jobs_in_flight: &reconciler.jobs_in_flight.borrow(),
+            write_budget: self.write_budget(),
+            limits: self.limits(),
+            has_team_limit: &has_team_limit,
+            plan: &plan,
+            now: scope.now,
         })
-        .changes
     }
 
-    async fn commit(&self, s: &StagedTransaction) {
-        match self.watch_cache.transaction(&s.transaction).await {
+    fn write_budget(&self) -> WriteBudget {
+        let (available, burst) = self.watch_cache.client().write_level();
+        WriteBudget { available, burst }
+    }
+
+    /// Writes the machines' keys and looks for silent machines, which are added to the scope.
+    fn check_silence_if_due(self: &Rc<Controller>, scope: &mut PassScope) {
+        let now = scope.now;
+        let last = &self.reconciler.last_silence_check;
+        if scope.full_sweep || now.saturating_sub(last.get()) >= SILENCE_CHECK_INTERVAL {
+            last.set(now);
+            self.write_machine_records(now);
+            self.overdue(now, &mut scope.changed);
+        }
+    }
+
+    /// Commits a transaction beside the loop. Its jobs count as in flight until the outcome is known.
+    fn spawn_commit(self: &Rc<Controller>, staged: StagedTransaction) {
+        self.reconciler
+            .jobs_in_flight
+            .borrow_mut()
+            .extend(staged.jobs.iter().cloned());
+        let controller = self.clone();
+        self.executor
+            .spawn(async move {
+                controller.commit(&staged).await;
+                {
+                    let mut in_flight = controller.reconciler.jobs_in_flight.borrow_mut();
+                    for job in &staged.jobs {
+                        in_flight.remove(job);
+                    }
+                }
+                controller.watch_cache.notifier().notify();
+            })
+            .detach();
+    }
+
+    /// Commits a transaction. Whatever the outcome, the next passes decide anew on what is then in the
+    /// cluster state; after a conflict or no answer that must be read again first.
+    async fn commit(&self, staged: &StagedTransaction) {
+        match self.watch_cache.transaction(&staged.transaction).await {
             TransactionOutcome::Done(_) => {}
             TransactionOutcome::Conflict(keys) => {
-                tracing::debug!(?keys, "conflict");
+                tracing::debug!(?keys, "transaction conflicts with a newer version");
                 self.watch_cache.linearizable_read().await;
             }
             TransactionOutcome::Refused(code) => {
-                tracing::debug!(code, "refused");
-                self.sleep(SECOND / 8).await;
+                tracing::debug!(code, "transaction refused by the state service");
+                self.sleep(REFUSED_PAUSE).await;
             }
             TransactionOutcome::Unknown => {
-                // It may have been carried out, or may yet be: its guards keep that harmless.
+                // It may have been carried out, or may yet be: its preconditions keep that harmless.
                 self.watch_cache.linearizable_read().await;
             }
         }
     }
 
-    /// Deletes what jobs that are over left behind.
+    /// Deletes keys that ended jobs left behind.
     pub async fn clean(&self) {
         loop {
-            let t = collect_garbage(&self.watch_cache.view(), self.limits());
-            let Some(t) = t else { return };
-            match self.watch_cache.transaction(&t).await {
+            let transaction = collect_garbage(&self.watch_cache.view(), self.limits());
+            let Some(transaction) = transaction else {
+                return;
+            };
+            match self.watch_cache.transaction(&transaction).await {
                 TransactionOutcome::Done(_) => {}
                 _ => return,
             }
             // More of it only with writes that nobody else needs.
-            let (level, burst) = self.watch_cache.client().write_level();
-            if level < burst * BOOKKEEPING_RESERVE {
+            let WriteBudget { available, burst } = self.write_budget();
+            if available < burst * BOOKKEEPING_RESERVE {
                 return;
             }
         }
--- a/tests/control.rs
+++ b/tests/reconciliation.rs
@@ -6,7 +6,7 @@
 use coppergw::ids::MachineId;
 use coppergw::jobs::commit::{JobChange, StagedTransaction};
 use coppergw::jobs::model::{JobId, JobRecord, JobSpec, Placement, TaskBlock, TaskState};
-use coppergw::reconciliation::decide::{ReconcileInput, WriteSchedule};
+use coppergw::reconciliation::decide::{ReconcileInput, WriteBudget, WriteSchedule};
 use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
 use coppergw::time::SECOND;
@@ -16,14 +16,17 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// A view with so many jobs that were withdrawn before they were placed, and arrays of which one task
+/// A cluster state with so many jobs that were cancelled before they were placed, and arrays of which one task
 /// of two has left its machine.
-fn view(withdrawn: usize, running: usize) -> (ClusterState, BTreeMap<MachineId, Vec<JobChange>>) {
+fn view(
+    cancelled_jobs: usize,
+    running_jobs: usize,
+) -> (ClusterState, BTreeMap<MachineId, Vec<JobChange>>) {
     let mut v = ClusterState::default();
-    let mut lefts: BTreeMap<MachineId, Vec<JobChange>> = BTreeMap::new();
-    for k in 0..withdrawn + running {
+    let mut ended: BTreeMap<MachineId, Vec<JobChange>> = BTreeMap::new();
+    for k in 0..cancelled_jobs + running_jobs {
         let id = format!("req-{k:06}");
-        let (cancelled, slots) = if k < withdrawn {
+        let (cancelled, slots) = if k < cancelled_jobs {
             (true, vec![TaskState::Waiting(0); 2])
         } else {
             let placed = |n: usize| {
@@ -34,16 +37,16 @@
                     stop: None,
                 })
             };
-            let left = JobChange::AttemptEnded {
+            let attempt_ended = JobChange::AttemptEnded {
                 job: id.as_str().into(),
                 index: 0,
                 attempt: 1,
                 done: true,
             };
-            lefts
+            ended
                 .entry(format!("m-{k:06}").into())
                 .or_default()
-                .push(left);
+                .push(attempt_ended);
             (false, vec![placed(k), placed(k + 1)])
         };
         let s = JobSpec {
@@ -56,13 +59,23 @@
             k as u64 + 1,
         );
     }
-    (v, lefts)
+    (v, ended)
 }
 
 fn jobs(staged: &[StagedTransaction]) -> Vec<JobId> {
     staged.iter().flat_map(|s| s.jobs.clone()).collect()
 }
 
+/// The most that may be written at once.
+const BURST: f64 = 30.0;
+
+fn budget(available: f64) -> WriteBudget {
+    WriteBudget {
+        available,
+        burst: BURST,
+    }
+}
+
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(31), ..ProptestConfig::default() })]
 
@@ -70,22 +83,21 @@
     /// the most, and bookkeeping none. What was left out comes later, each job once.
     #[test]
     fn a_pass_keeps_to_the_budget_and_gets_through(
-        withdrawn in 0usize..60,
-        running in 0usize..40,
+        cancelled_jobs in 0usize..60,
+        running_jobs in 0usize..40,
         level in -10.0f64..30.0,
     ) {
-        const BURST: f64 = 30.0;
-        let (v, lefts) = view(withdrawn, running);
-        let mut rounds = WriteSchedule::default();
+        let (v, ended) = view(cancelled_jobs, running_jobs);
+        let mut schedule = WriteSchedule::default();
         let mut busy: HashSet<JobId> = HashSet::default();
         let mut written = 0;
         for round in 0..60u64 {
             let level = if round == 0 { level } else { BURST };
-            let staged = rounds.decide(&ReconcileInput {
+            let staged = schedule.decide(&ReconcileInput {
                 view: &v,
-                ended_attempts: &lefts,
+                ended_attempts: &ended,
                 jobs_in_flight: &busy,
-                write_budget: (level, BURST),
+                write_budget: budget(level),
                 limits: LIMITS,
                 has_team_limit: &|_| false,
                 plan: &|_| Vec::new(),
@@ -100,30 +112,30 @@
                 prop_assert!(busy.insert(j), "a job under way is staged again");
             }
         }
-        prop_assert_eq!(written, withdrawn + running);
+        prop_assert_eq!(written, cancelled_jobs + running_jobs);
     }
 }
 
 /// Ends, for which others wait, come before what only its owner needs to know.
 #[test]
 fn ends_come_before_bookkeeping() {
-    let (v, lefts) = view(4, 4);
-    let mut rounds = WriteSchedule::default();
-    let mut at = |now, budget| {
-        rounds.decide(&ReconcileInput {
+    let (v, ended) = view(4, 4);
+    let mut schedule = WriteSchedule::default();
+    let mut at = |now, available| {
+        schedule.decide(&ReconcileInput {
             view: &v,
-            ended_attempts: &lefts,
+            ended_attempts: &ended,
             jobs_in_flight: &HashSet::default(),
-            write_budget: budget,
+            write_budget: budget(available),
             limits: LIMITS,
             has_team_limit: &|_| false,
             plan: &|_| Vec::new(),
             now,
         })
     };
-    at(100 * SECOND, (-1.0, 30.0));
+    at(100 * SECOND, -1.0);
     // Long known by now, and still not at the expense of what comes first.
-    let staged = jobs(&at(110 * SECOND, (2.0, 30.0)));
+    let staged = jobs(&at(110 * SECOND, 2.0));
     assert_eq!(staged.len(), 4);
     assert!(staged.iter().all(|j| v.jobs[j].cancelled()));
 }
@@ -132,19 +144,19 @@
 /// then all of them, since they may have more than what is left.
 #[test]
 fn nothing_is_planned_in_debt() {
-    let (v, lefts) = view(4, 0);
-    let mut rounds = WriteSchedule::default();
-    let mut wishes = |now, level| {
+    let (v, ended) = view(4, 0);
+    let mut schedule = WriteSchedule::default();
+    let mut requests = |now, level| {
         let seen = std::cell::RefCell::new(Vec::new());
-        rounds.decide(&ReconcileInput {
+        schedule.decide(&ReconcileInput {
             view: &v,
-            ended_attempts: &lefts,
+            ended_attempts: &ended,
             jobs_in_flight: &HashSet::default(),
-            write_budget: (level, 30.0),
+            write_budget: budget(level),
             limits: LIMITS,
             has_team_limit: &|_| false,
-            plan: &|w| {
-                seen.borrow_mut().push((w.arrays, w.max_jobs));
+            plan: &|request| {
+                seen.borrow_mut().push((request.arrays, request.max_jobs));
                 Vec::new()
             },
             now,
@@ -152,8 +164,8 @@
         seen.into_inner()
     };
     const NOW: u64 = 100 * SECOND;
-    wishes(NOW, 30.0);
-    assert_eq!(wishes(NOW + SECOND / 2, -1.0), []);
-    assert_eq!(wishes(NOW + SECOND / 2, 4.0), [(false, Some(16))]);
-    assert_eq!(wishes(NOW + 2 * SECOND, -1.0), [(true, None)]);
+    requests(NOW, 30.0);
+    assert_eq!(requests(NOW + SECOND / 2, -1.0), []);
+    assert_eq!(requests(NOW + SECOND / 2, 4.0), [(false, Some(16))]);
+    assert_eq!(requests(NOW + 2 * SECOND, -1.0), [(true, None)]);
 }
