--- a/src/jobs/commit/job_transaction.rs
+++ b/src/jobs/commit/job_transaction.rs
@@ -23,12 +23,12 @@
 /// Mutations kept free for what is written along with the tasks' keys: the job's record, its end, the
 /// team's key, the marker of a block that is split.
 const RESERVED_MUTATIONS_PACKED: usize = 3;
-/// The same where blocks are written plain. Versions that write this form reserve as much.
+/// The same where blocks are written plain.
 const RESERVED_MUTATIONS_PLAIN: usize = 4;
 /// Mutations that a gang needs beyond one for each of its blocks, where these are written plain.
 const GANG_RESERVED_MUTATIONS: usize = 3;
-/// Preconditions kept free while tasks are placed in plain blocks: the job's record, its block, the
-/// team and one in reserve.
+/// Preconditions kept free while tasks are placed in plain blocks, for what is added at the end: the
+/// job's record, its changed blocks, the team's key.
 const RESERVED_PRECONDITIONS: usize = 4;
 /// Preconditions of one placement: the machine's shard and the machine.
 const PRECONDITIONS_PER_PLACEMENT: usize = 2;
--- a/src/jobs/commit/limits.rs
+++ b/src/jobs/commit/limits.rs
@@ -5,7 +5,7 @@
 /// Conditions that the state service takes for each mutation that it takes.
 const PRECONDITIONS_PER_MUTATION: usize = 4;
 /// The same for transactions that are filled up with several jobs, or written slot by slot: a quarter
-/// stays free, so that an estimate that is a little low does no harm.
+/// stays free for what is added after the check.
 const RESERVED_PRECONDITIONS_PER_MUTATION: usize = 3;
 
 /// Limits of a transaction, and the stored forms that may be written at present.
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -41,7 +41,7 @@
 const SWEEP_INTERVAL_PER_SWEEP_TIME: u64 = 12;
 /// Silent machines are looked for, and machines' keys written, this often.
 const SILENCE_CHECK_INTERVAL: Micros = SECOND / 5;
-/// Pause after a transaction that the state service refused: nothing is known to change by itself.
+/// Time that the jobs of a refused transaction stay in flight, so that it is not tried again at once.
 const REFUSED_PAUSE: Micros = SECOND / 8;
 /// Share of the state service's request limit that the controllers that are alive divide evenly. The
 /// rest is for requests that are not counted here (lease renewals) and for clocks that differ.
