--- a/src/membership/cancellation_watermark.rs
+++ b/src/membership/cancellation_watermark.rs
@@ -1,18 +1,21 @@
-//! Up to when a controller knows of every cancellation that any controller may have confirmed to a user. Pure: the
-//! state is a [`CancellationWatermarks`] value that the exchange of peer heartbeats owns and changes.
+//! Cancellation watermark: the time before which every cancellation that any controller may have confirmed
+//! to a user is in this controller's view. Performs no I/O: the state is a [`CancellationWatermarks`]
+//! value, which the exchange of peer heartbeats owns and updates.
 //!
-//! An owner that does not reach the state service may keep tasks alive only while it knows of every cancellation
-//! early enough. That the service is out of reach for all now proves nothing: an owner that alone was cut off
-//! before missed what the others confirmed meanwhile. So each controller asks all others, each half second,
-//! for what was cancelled after the revision of its own view. The digest in the answer holds all that the peer
-//! may have confirmed by then, and that earlier incarnations of it did: these wrote it before they confirmed
-//! it, and this incarnation read everything when it started. Nothing else counts: neither an unsolicited
-//! message, which may be old, nor a digest that was cut, nor silence.
+//! A shard owner that cannot reach the state service may keep tasks running only while it receives every
+//! cancellation early enough. An outage that affects all controllers now is no evidence of that: an owner
+//! that was partitioned alone before the outage missed the cancellations that other controllers confirmed
+//! during its partition. Therefore each controller requests from every peer, each half second, the
+//! cancellations after the revision of its own view. The digest in the response contains every cancellation
+//! that the peer may have confirmed so far, including those confirmed by its earlier incarnations: they
+//! wrote each cancellation before confirming it, and the current incarnation read the complete state when
+//! it started. Nothing else advances the watermark: not an unsolicited message, which may be old, not a
+//! truncated digest, and not a missing response.
 //!
-//! A controller that crashes in an outage takes with it what it confirmed since it last answered. Therefore one
-//! that does not reach the state service promises peers in the same situation to confirm nothing for
-//! [`CONFIRMATION_HOLD`], and keeps to it also when the service is back. An incarnation that starts within
-//! that time can vouch for the one before.
+//! A controller that crashes during an outage loses the cancellations that it confirmed after its latest
+//! response. Therefore a controller that cannot reach the state service grants peers in the same situation
+//! a hold: it confirms no cancellation for [`CONFIRMATION_HOLD`], even if the service becomes reachable
+//! again. An incarnation that starts before the hold ends can respond on behalf of the previous one.
 
 use crate::store::cluster_state::ClusterState;
 use crate::time::{Micros, SECOND};
@@ -20,68 +23,72 @@
 use crate::wire::user::valid_id;
 use foldhash::HashMap;
 
-/// For so long a controller without the state service confirms no cancellation. More than a process takes to
-/// restart; users who cancel a job try again every second or so.
+/// Time for which a controller that cannot reach the state service confirms no cancellation. Longer than a
+/// restart of the process takes; users who cancel a job retry about every second.
 pub const CONFIRMATION_HOLD: Micros = 12 * SECOND;
 
-/// A digest names so many cancellations at most, to bound its size; a longer one is cut and vouches for nothing.
+/// Maximum number of cancellations in a digest; bounds its size. A longer digest is truncated and does not
+/// advance the watermark.
 pub(super) const MAX_DIGEST_ENTRIES: usize = 2_000;
 
-/// How far two steady clocks may drift apart over a time, doubled for safety: one in a thousand.
+/// Returns the maximum drift between two monotonic clocks over a time span, doubled for safety: one part in
+/// a thousand.
 fn max_clock_drift(span: Micros) -> Micros {
     span / 1000
 }
 
-/// What a controller makes its digest from.
+/// Inputs of a cancellation digest.
 pub struct DigestSource<'a> {
-    /// Its view of the cluster state.
+    /// This controller's view of the cluster state.
     pub view: &'a ClusterState,
-    /// Whether the view was loaded at any time since the process started. Until then it does not know what
-    /// earlier incarnations of its name confirmed, and has confirmed nothing itself.
+    /// Whether the view was loaded at any time since the process started. Until then this controller has
+    /// not read which cancellations earlier incarnations of its name confirmed, and has confirmed none
+    /// itself.
     pub loaded: bool,
-    /// Whether it reaches the state service.
+    /// Whether this controller reaches the state service.
     pub state_service_reachable: bool,
-    /// How long ago the process started.
+    /// Time since the process started.
     pub process_age: Micros,
-    /// So many cancellations fit into a digest.
+    /// Maximum number of cancellations in the digest.
     pub max_entries: usize,
 }
 
-/// The answer to a peer's question: the cancellations known after the revision that it names, and whether this
-/// controller promises to confirm none for [`CONFIRMATION_HOLD`] from now on.
+/// Returns the digest that responds to a peer's request: the cancellations after the requested revision,
+/// and whether this controller confirms none for [`CONFIRMATION_HOLD`] from now on.
 pub fn cancellation_digest(
     source: &DigestSource<'_>,
-    question: &PeerHeartbeat,
+    request: &PeerHeartbeat,
 ) -> CancellationDigest {
-    let after = question.revision;
+    let after = request.revision;
     let mut cancelled = Vec::new();
-    // A peer that asks about no revision has read nothing, or is of the version before: neither needs a list.
+    // Revision 0 comes from a peer that has not read the state yet or runs the previous version; neither
+    // needs a list.
     let mut complete = !source.loaded;
-    let known = source
+    let entries = source
         .view
         .cancelled_after(after)
         .filter(|_| source.loaded && after > 0);
-    if let Some(mut known) = known {
-        let first = known.by_ref().take(source.max_entries);
+    if let Some(mut entries) = entries {
+        let first = entries.by_ref().take(source.max_entries);
         cancelled.extend(first.map(|(revision, id)| (id.to_string(), *revision)));
-        complete = known.next().is_none();
+        complete = entries.next().is_none();
     }
-    // A peer that reaches the service needs no promise, and a controller that reaches it gives none.
-    let promises = complete
+    // A peer that reaches the service does not need a hold, and a controller that reaches it grants none.
+    let grants_hold = complete
         && !source.state_service_reachable
-        && !question.state_service_reachable
+        && !request.state_service_reachable
         && after > 0;
     CancellationDigest {
         after,
         cancelled,
         complete,
         process_age: (!source.loaded).then_some(source.process_age),
-        hold: if promises { CONFIRMATION_HOLD } else { 0 },
+        hold: if grants_hold { CONFIRMATION_HOLD } else { 0 },
     }
 }
 
-/// Up to when, by its own steady clock, a controller that gave this digest at `now` confirms no cancellation; 0 if
-/// it promised nothing.
+/// Returns the time, by this controller's monotonic clock, until which it confirms no cancellation after
+/// creating the digest at `now`; 0 if the digest grants no hold.
 pub fn held_until(digest: &CancellationDigest, now: Micros) -> Micros {
     match digest.hold {
         0 => 0,
@@ -89,87 +96,92 @@
     }
 }
 
-/// Whether a digest can be the answer to a question about a revision.
-fn answers_question(digest: &CancellationDigest, after_revision: u64) -> bool {
+/// Returns whether a digest is a valid response to a request for the cancellations after a revision.
+fn is_valid_response(digest: &CancellationDigest, after_revision: u64) -> bool {
     let is_valid = |(id, revision): &(String, u64)| valid_id(id) && *revision > after_revision;
     digest.after == after_revision && digest.cancelled.iter().all(is_valid)
 }
 
-/// What one peer vouched for, in times of our steady clock.
+/// Guarantees by one peer's responses, as times of this controller's monotonic clock.
 #[derive(Default)]
 struct PeerWatermark {
-    /// Up to then we know of every cancellation that it confirmed.
-    known_until: Micros,
-    /// Up to then it confirms none, unless its process ended.
-    held_until: Micros,
+    /// Every cancellation that the peer confirmed before this time is in this controller's view.
+    complete_until: Micros,
+    /// The peer confirms no cancellation before this time, unless its process ends.
+    hold_end: Micros,
 }
 
-/// A question to a peer and its answer.
+/// A request to a peer and its response.
 pub struct DigestExchange<'a> {
-    /// Name of the peer that was asked.
+    /// Name of the peer that the request was sent to.
     pub peer: &'a str,
-    /// When the question was sent, by our steady clock.
+    /// Time at which the request was sent, by this controller's monotonic clock.
     pub asked_at: Micros,
-    /// When the answer arrived, by our steady clock.
+    /// Time at which the response arrived, by this controller's monotonic clock.
     pub answered_at: Micros,
-    /// The question: what was cancelled after this revision.
+    /// Revision after which the request asked for cancellations.
     pub after_revision: u64,
-    /// The answer.
+    /// The response.
     pub answer: &'a PeerHeartbeat,
 }
 
-/// Up to when each peer vouches that we know of every cancellation that it may have confirmed.
+/// For each peer, the time before which this controller's view contains every cancellation that the peer
+/// may have confirmed.
 #[derive(Default)]
 pub struct CancellationWatermarks {
     peers: HashMap<String, PeerWatermark>,
 }
 
 impl CancellationWatermarks {
-    /// Takes in a peer's answer. Returns the cancellations to act on, with the revisions by which they were made.
+    /// Records a peer's response. Returns the cancellations to apply, each with a revision by which it was
+    /// made.
     ///
-    /// A peer that reaches the state service vouches for nothing here: it takes over what we own, if we do not
-    /// reach the service, and should be left to.
+    /// A response from a peer that reaches the state service does not advance the watermark: if this
+    /// controller does not reach the service, such a peer takes over its shards, and this controller has to
+    /// let it.
     pub fn record_answer<'a>(&mut self, exchange: &DigestExchange<'a>) -> &'a [(String, u64)] {
-        let answer = exchange.answer;
-        let Some(digest) = answer.digest.as_ref().filter(|digest| {
-            answer.node == exchange.peer && answers_question(digest, exchange.after_revision)
+        let response = exchange.answer;
+        let Some(digest) = response.digest.as_ref().filter(|digest| {
+            response.node == exchange.peer && is_valid_response(digest, exchange.after_revision)
         }) else {
             return &[];
         };
         let watermark = self.peers.entry(exchange.peer.to_string()).or_default();
-        // An incarnation that read nothing vouches for earlier ones if their promise ran until it started. An
-        // age from before our own times is none.
+        // The response of an incarnation that has not loaded the state covers earlier incarnations only if
+        // their hold lasted until this one started. An age that reaches back beyond the start of this
+        // controller's clock is invalid.
         let started_at = |age: u64| {
             exchange
                 .answered_at
                 .checked_sub(age.saturating_sub(max_clock_drift(age)))
         };
-        let covers_earlier_incarnations = digest.process_age.is_none_or(|age| {
-            started_at(age).is_some_and(|started| started <= watermark.held_until)
-        });
-        if digest.complete && !answer.state_service_reachable && covers_earlier_incarnations {
-            watermark.known_until = watermark.known_until.max(exchange.asked_at);
+        let covers_earlier_incarnations = digest
+            .process_age
+            .is_none_or(|age| started_at(age).is_some_and(|started| started <= watermark.hold_end));
+        if digest.complete && !response.state_service_reachable && covers_earlier_incarnations {
+            watermark.complete_until = watermark.complete_until.max(exchange.asked_at);
             let hold = digest.hold.min(CONFIRMATION_HOLD);
-            let held_until = exchange.asked_at + hold - max_clock_drift(hold);
-            watermark.held_until = watermark.held_until.max(held_until);
+            let hold_end = exchange.asked_at + hold - max_clock_drift(hold);
+            watermark.hold_end = watermark.hold_end.max(hold_end);
         }
         &digest.cancelled
     }
 
-    /// Up to when every cancellation is known that any controller may have confirmed: by our own read that began at
-    /// `last_read_at`, or by the digests of all peers, or up to now if there are none. Our own
-    /// cancellations are in our view before they are confirmed.
+    /// Returns the time before which every cancellation that any controller may have confirmed is in this
+    /// controller's view: the start of its latest complete read, `last_read_at`, or the oldest of the times
+    /// guaranteed by the peers, whichever is later; `now` if there are no peers. This controller's own
+    /// cancellations are in its view before they are confirmed.
     pub fn cancellation_watermark<'a>(
         &self,
         last_read_at: Micros,
         peers: impl Iterator<Item = &'a str>,
         now: Micros,
     ) -> Micros {
-        let until = |name| {
+        let guaranteed_until = |name| {
             self.peers.get(name).map_or(0, |watermark| {
-                watermark.known_until.max(watermark.held_until)
+                watermark.complete_until.max(watermark.hold_end)
             })
         };
-        last_read_at.max(peers.map(until).min().unwrap_or(now))
+        last_read_at.max(peers.map(guaranteed_until).min().unwrap_or(now))
     }
 }
