--- a/src/membership/layout_agreement.rs
+++ b/src/membership/layout_agreement.rs
@@ -1,5 +1,6 @@
-//! Agreement on the storage layout: the newer one is put in force once every controller of the settings has stated
-//! durably that it reads it. Owns no state in memory; writes this controller's version key and the layout key.
+//! Agreement on the storage layout: the newer layout is enabled once every controller in the settings has
+//! recorded durably that it supports it. Holds no state in memory; writes this controller's version key and
+//! the layout key.
 
 use super::records::{Member, Version};
 use crate::controller::Controller;
@@ -9,12 +10,12 @@
 use crate::wire::to_value;
 use std::collections::BTreeMap;
 
-/// The storage layout of this version of the program: packed and split blocks, pipelines.
+/// Storage layout of this version of the program: packed and split blocks, pipelines.
 pub const LAYOUT_VERSION: u32 = 2;
 
-/// Whether every controller that the settings name has written durably that it supports this layout, and no
-/// live one states an older one. A list of the live ones would not do: a process that died before its
-/// upgrade comes back with the old version.
+/// Returns whether every controller named in the settings has recorded durably that it supports this
+/// layout, and no live member states an older one. Checking only the live members would not be sufficient:
+/// a process that died before its upgrade may restart with the old version.
 pub fn all_support_layout<'a>(
     names: impl Iterator<Item = &'a str>,
     versions: &BTreeMap<String, Version>,
@@ -24,15 +25,16 @@
     names.all(|name| {
         versions
             .get(name)
-            .is_some_and(|stated| stated.version >= LAYOUT_VERSION)
+            .is_some_and(|recorded| recorded.version >= LAYOUT_VERSION)
     }) && members
         .values()
         .all(|member| member.version >= LAYOUT_VERSION)
 }
 
 impl Controller {
-    /// States durably that this controller supports the newer layout, and puts it in force once all controllers of
-    /// the settings did. Until then everything is written as the version before reads it.
+    /// Records durably that this controller supports the newer layout, and enables the layout once all
+    /// controllers in the settings have done so. Until then everything is written in the form that the
+    /// previous version reads.
     pub(super) async fn advance_layout(&self) {
         let Some(transaction) = self.layout_transaction() else {
             return;
@@ -52,7 +54,7 @@
         }
     }
 
-    /// The next write towards the newer layout, if one is due.
+    /// Returns the next write towards enabling the newer layout, if one is due.
     fn layout_transaction(&self) -> Option<Transaction> {
         let view = self.watch_cache.view();
         if view.layout.is_some() {
@@ -60,9 +62,9 @@
         }
         let own_name = self.me();
         let peer_names = self.settings.peers.iter().map(|peer| peer.name.as_str());
-        let stated = view.versions.get(own_name);
+        let recorded = view.versions.get(own_name);
         let mut transaction = Transaction::default();
-        let key = if stated.is_none_or(|stated| stated.version < LAYOUT_VERSION) {
+        let key = if recorded.is_none_or(|recorded| recorded.version < LAYOUT_VERSION) {
             keys::version(own_name)
         } else if all_support_layout(peer_names.chain([own_name]), &view.versions, &view.members) {
             transaction.preconditions.push(Precondition {
--- a/src/membership/leader_election.rs
+++ b/src/membership/leader_election.rs
@@ -1,5 +1,6 @@
-//! Leader election: a compare-and-swap on the leader key, which is bound to the leader's lease. The decision is a
-//! pure function of the cluster state; owns no state in memory, and only this file writes the leader key.
+//! Leader election: a compare-and-swap on the leader key, which is bound to the leader's lease. The
+//! decision is a pure function of the cluster state. Holds no state in memory; no other file writes the
+//! leader key.
 
 use super::lease_renewal::Incarnation;
 use super::records::{Leader, Member, non_flapping};
@@ -12,20 +13,21 @@
 use crate::wire::to_value;
 use std::collections::BTreeMap;
 
-/// Who leads, as one incarnation sees it.
+/// Leadership as seen by one incarnation.
 #[derive(Debug)]
 pub enum LeaderStatus {
-    /// This incarnation leads.
+    /// This incarnation is the leader.
     Leading,
-    /// Another one leads, or should.
+    /// Another incarnation is the leader or should become it.
     Following,
-    /// Nobody leads: this incarnation should try to with the given write.
+    /// There is no leader: this incarnation should try to become it with the given write.
     Vacant(Transaction),
 }
 
-/// Whether an incarnation leads or should. The leader is an incarnation, not a name: the key of one that ended
-/// stands until its lease expires, while the next one of the same name is alive. Flapping members are
-/// considered last, since each of their incarnations is too short to rent anything.
+/// Returns whether an incarnation is the leader or should become it. The leader is an incarnation, not a
+/// name: the leader key of an incarnation that ended remains until its lease expires, while the next
+/// incarnation of the same name may already be live. Flapping members are considered last, since each of
+/// their incarnations is too short to rent any machine.
 pub fn leader_status(
     view: &ClusterState,
     live_members: &BTreeMap<String, Member>,
@@ -68,8 +70,9 @@
 }
 
 impl Controller {
-    /// Whether this controller leads; tries to become the leader if there is none. After a successful write it
-    /// leads only once a read has brought in all that the leader before it wrote.
+    /// Returns whether this controller is the leader; tries to become it if there is none. After a
+    /// successful write it acts as the leader only once a linearizable read has returned everything that
+    /// the previous leader wrote.
     pub async fn acquire_leadership(&self) -> bool {
         let claim = {
             let Some(incarnation) = self.incarnation() else {
--- a/src/membership/shard_assignment.rs
+++ b/src/membership/shard_assignment.rs
@@ -1,5 +1,6 @@
-//! Which controller should own which shard: a pure function of the present owners, the live members and the time
-//! of day, so that all controllers that see the same members compute the same answer. Owns no state.
+//! Assignment of shards to controllers: a pure function of the current owners, the live members and the
+//! wall-clock time, so that all controllers that see the same members compute the same result. Holds no
+//! state.
 
 use super::records::{Member, Shard, non_flapping};
 use crate::time::Micros;
@@ -10,31 +11,32 @@
 /// Number of shards. Fixed: a machine's shard, and with it its fencing token, must never change.
 pub const SHARD_COUNT: u32 = 12;
 
-/// The name of the controller that should own each shard.
+/// Name of the controller that should own each shard.
 pub type ShardOwners = BTreeMap<u32, String>;
 
-/// A hash that stays the same between versions and machines.
+/// Returns a hash that is the same in all versions and on all machines.
 pub fn hash(text: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(text.as_bytes());
-    // FNV spreads its low bits badly over few values; finish with a multiplicative mix.
+    // FNV distributes its low bits poorly over small sets of values; a final multiplicative mix corrects
+    // this.
     let raw = hasher.finish();
     (raw ^ (raw >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 16
 }
 
-/// The shard that a machine belongs to.
+/// Returns the shard that a machine belongs to.
 pub fn shard_of(machine: &str) -> u32 {
     (hash(machine) % u64::from(SHARD_COUNT)) as u32
 }
 
-/// Weight of a controller for a shard in rendezvous hashing.
+/// Returns the weight of a controller for a shard in rendezvous hashing.
 fn rendezvous_weight(shard: u32, node: &str) -> u64 {
     hash(&format!("{shard}@{node}"))
 }
 
-/// Who should own each shard at this time of day, in microseconds. Present owners keep theirs; the others go to the
-/// least loaded member that does not flap, ties by rendezvous hash; then load is evened out towards
-/// members that have stabilised. Empty if there are no members.
+/// Returns the desired owner of each shard at the wall-clock time `now`, in microseconds. Live owners keep
+/// their shards; the others go to the least loaded member that is not flapping, ties by rendezvous hash;
+/// then shards move to members that have stabilised until the load is even. Empty if there are no members.
 pub fn assign_shards(
     shards: &BTreeMap<u32, Shard>,
     members: &BTreeMap<String, Member>,
@@ -50,13 +52,13 @@
         load: candidates.iter().map(|name| (*name, 0)).collect(),
         owners: ShardOwners::new(),
     };
-    assignment.keep_present_owners(shards);
+    assignment.keep_current_owners(shards);
     assignment.assign_unowned(&candidates);
     assignment.rebalance();
     assignment.owners
 }
 
-/// Members whose workers reach them; all of them if there are none.
+/// Returns the members that their workers can reach, or all members if there are none.
 fn candidates(members: &BTreeMap<String, Member>) -> Vec<&String> {
     let reachable: Vec<&String> = members
         .iter()
@@ -70,24 +72,24 @@
     }
 }
 
-/// An assignment while it is computed.
+/// Shard assignment while it is computed.
 struct Assignment<'a> {
     members: &'a BTreeMap<String, Member>,
     now: Micros,
-    /// Shards of each candidate so far.
+    /// Number of shards assigned to each candidate so far.
     load: BTreeMap<&'a String, u32>,
     owners: ShardOwners,
 }
 
 impl<'a> Assignment<'a> {
-    fn keep_present_owners(&mut self, shards: &BTreeMap<u32, Shard>) {
+    fn keep_current_owners(&mut self, shards: &BTreeMap<u32, Shard>) {
         for (number, shard) in shards {
-            let live = self
+            let is_live = self
                 .members
                 .get(&shard.owner)
                 .is_some_and(|member| member.lease == shard.lease);
             if *number < SHARD_COUNT
-                && live
+                && is_live
                 && let Some(load) = self.load.get_mut(&shard.owner)
             {
                 *load += 1;
@@ -123,8 +125,8 @@
         }
     }
 
-    /// Evens load out, only towards members that have stabilised and only where that makes a difference of two
-    /// or more smaller: each move fences machines.
+    /// Moves shards only to members that have stabilised and only from members with at least two shards
+    /// more: each move requires fencing machines.
     fn rebalance(&mut self) {
         while let Some((from, to)) = self.next_move() {
             let Some(number) = self
@@ -146,7 +148,8 @@
         }
     }
 
-    /// The most loaded candidate and the least loaded stabilised one, if a shard should move between them.
+    /// Returns the most loaded candidate and the least loaded stabilised one, if a shard should move from
+    /// the first to the second.
     fn next_move(&self) -> Option<(&'a String, &'a String)> {
         let stabilised = self.load.iter().filter(|(name, _)| {
             self.members
--- a/src/membership/shard_assignment/tests.rs
+++ b/src/membership/shard_assignment/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the assignment of shards.
+//! Tests of the shard assignment.
 
 use super::*;
 use crate::membership::records::STABILISATION_TIME;
@@ -7,27 +7,34 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
     #[test]
-    fn every_shard_has_a_live_owner_and_live_owners_keep_theirs(
+    fn shards_are_spread_over_live_members_and_reassignment_is_stable(
         owners in proptest::collection::vec(0usize..4, SHARD_COUNT as usize),
         alive in proptest::collection::vec(any::<bool>(), 3),
         unreachable in proptest::collection::vec(any::<bool>(), 3),
     ) {
         let names = ["a", "b", "c", "gone"];
         let shards: BTreeMap<u32, Shard> = owners.iter().enumerate()
-            .map(|(i, o)| (i as u32, Shard { owner: names[*o].into(), lease: *o as u64, term: 3 })).collect();
-        let members: BTreeMap<String, Member> = (0..3).filter(|i| alive[*i])
-            .map(|i| (names[i].to_string(), Member { lease: i as u64, since: 0, unreachable_by_workers: unreachable[i], version: 0, restart_count: 0 })).collect();
-        let out = assign_shards(&shards, &members, STABILISATION_TIME);
-        prop_assert_eq!(out.len(), if members.is_empty() { 0 } else { SHARD_COUNT as usize });
-        prop_assert!(out.values().all(|o| members.contains_key(o)));
-        let mut load: BTreeMap<&String, i32> = members.iter().filter(|(_, m)| !m.unreachable_by_workers).map(|(n, _)| (n, 0)).collect();
-        for o in out.values() { if let Some(l) = load.get_mut(o) { *l += 1; } }
-        if let (Some(lo), Some(hi)) = (load.values().min(), load.values().max()) {
-            prop_assert!(hi - lo <= 1);
+            .map(|(number, owner)| (
+                number as u32, Shard { owner: names[*owner].into(), lease: *owner as u64, term: 3 }
+            )).collect();
+        let members: BTreeMap<String, Member> = (0..3).filter(|index| alive[*index])
+            .map(|index| (names[index].to_string(), Member {
+                lease: index as u64, since: 0, unreachable_by_workers: unreachable[index], version: 0, restart_count: 0
+            })).collect();
+        let assigned = assign_shards(&shards, &members, STABILISATION_TIME);
+        prop_assert_eq!(assigned.len(), if members.is_empty() { 0 } else { SHARD_COUNT as usize });
+        prop_assert!(assigned.values().all(|owner| members.contains_key(owner)));
+        let mut load: BTreeMap<&String, i32> = members.iter()
+            .filter(|(_, member)| !member.unreachable_by_workers).map(|(name, _)| (name, 0)).collect();
+        for owner in assigned.values() { if let Some(count) = load.get_mut(owner) { *count += 1; } }
+        if let (Some(lowest), Some(highest)) = (load.values().min(), load.values().max()) {
+            prop_assert!(highest - lowest <= 1);
         }
-        // Asking again after the answer was carried out changes nothing.
-        let again: BTreeMap<u32, Shard> = out.iter()
-            .map(|(n, o)| (*n, Shard { owner: o.clone(), lease: members[o].lease, term: 4 })).collect();
-        prop_assert_eq!(assign_shards(&again, &members, STABILISATION_TIME), out);
+        // Assigning again after the result was applied changes nothing.
+        let applied: BTreeMap<u32, Shard> = assigned.iter()
+            .map(|(number, owner)| (
+                *number, Shard { owner: owner.clone(), lease: members[owner].lease, term: 4 }
+            )).collect();
+        prop_assert_eq!(assign_shards(&applied, &members, STABILISATION_TIME), assigned);
     }
 }
