--- a/src/membership/lease_renewal.rs
+++ b/src/membership/lease_renewal.rs
@@ -1,11 +1,12 @@
 //! The lease of this process in the state service, and the member key that is bound to it.
 //!
-//! An incarnation is a name and a lease: the service never grants a lease twice, so nothing that an earlier
-//! process of the same name asked for can be taken for this one's. Each write is conditional on what it was
-//! decided on. Requests of an earlier incarnation that arrive late, or twice, fail; where they come first,
-//! the later incarnation sees that its key does not stand, and writes it again.
+//! An incarnation is identified by a controller name and a lease. The service never grants a lease twice,
+//! so a request of an earlier process of the same name cannot be mistaken for one of this process. Each
+//! write is conditional on the state on which it was decided, so delayed or duplicate requests of an
+//! earlier incarnation fail. If such a request is applied first, the later incarnation detects that its key
+//! is not in place and writes it again.
 //!
-//! Owns [`LeaseState`]; only the lease loop changes it.
+//! Owns [`LeaseState`], which only the lease loop modifies.
 
 use super::layout_agreement::LAYOUT_VERSION;
 use super::records::Member;
@@ -20,9 +21,9 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Pause before a lease is asked for again: short, as nothing can be claimed without one.
+/// Pause before a lease is requested again; short because nothing can be claimed without one.
 const LEASE_RETRY_INTERVAL: Micros = SECOND / 4;
-/// Renewals within the lifetime of a lease: three may fail before it expires.
+/// Renewals attempted within the lifetime of a lease: three may fail before it expires.
 const RENEWALS_PER_TTL: u64 = 4;
 
 /// One process that runs under a controller's name.
@@ -30,16 +31,16 @@
 pub struct Incarnation<'a> {
     /// Name of the controller.
     pub node: &'a str,
-    /// Its lease.
+    /// Lease granted to the process.
     pub lease: u64,
 }
 
-/// The leases of this process.
+/// Leases of this process.
 #[derive(Default)]
 pub(super) struct LeaseState {
-    /// The lease that runs, as far as we know.
+    /// The current lease, which this process considers valid.
     current: Cell<Option<u64>>,
-    /// Every lease that this process was ever granted, the current one included.
+    /// All leases granted to this process, including the current one.
     granted: RefCell<HashSet<u64>>,
 }
 
@@ -48,23 +49,25 @@
         self.current.get()
     }
 
-    /// Notes that a lease was granted, or that it expired.
+    /// Records that a lease was granted, or that the current one expired.
     fn set(&self, lease: Option<u64>) {
         self.current.set(lease);
         self.granted.borrow_mut().extend(lease);
     }
 
-    /// Whether shards taken under a lease are ours to drive. They are until somebody raises their terms, also
-    /// after the lease expired and whether or not another was granted since: otherwise an outage that begins
-    /// at that moment would leave their machines without anyone who answers them.
-    pub(super) fn is_own(&self, lease: u64) -> bool {
+    /// Returns whether a lease was granted to this process at any time. The process drives the shards that
+    /// it claimed under such a lease until another incarnation raises their terms, even after the lease
+    /// expired and whether or not a new one was granted: otherwise, if a state service outage began at that
+    /// moment, no controller would answer the heartbeats of their machines.
+    pub(super) fn was_granted(&self, lease: u64) -> bool {
         self.granted.borrow().contains(&lease)
     }
 }
 
-/// The write that makes an incarnation's member key say what it should, if it does not. A key that was written
-/// may have been overwritten: a process that is back within a fraction of a second may meet a request of its
-/// earlier incarnation, whose lease still runs, and the key disappears with that lease.
+/// Returns the write that sets an incarnation's member key to the desired record, if the key differs from
+/// it. A key that was already written may have been overwritten: if a process restarts within a fraction of
+/// a second, a delayed request of its earlier incarnation, whose lease has not expired, may still be
+/// applied, and the key is deleted when that lease expires.
 pub fn claim_member_key(
     view: &ClusterState,
     incarnation: Incarnation<'_>,
@@ -83,32 +86,33 @@
     })
 }
 
-/// Outcome of one attempt to hold a lease.
+/// Outcome of one attempt to obtain or renew a lease.
 enum LeaseAttempt {
-    /// A lease was granted or renewed, or the renewal was not answered and it may still run.
+    /// A lease was granted or renewed, or the renewal got no response and the lease may still be valid.
     Held,
-    /// None was granted.
+    /// No lease was granted.
     NotGranted,
-    /// The lease that we had expired.
+    /// The current lease expired.
     Expired,
 }
 
 /// Outcome of one attempt to write the member key.
 enum MemberKeyWrite {
-    /// It stands, the lease was lost, or the outcome is unknown: looked at again in the next round.
+    /// The key is as desired, the lease was lost, or the outcome is unknown: checked again in the next
+    /// round.
     Finished,
-    /// Somebody wrote it meanwhile: it must be written again at once.
+    /// Another request wrote the key concurrently: it must be written again immediately.
     Overwritten,
 }
 
 impl Controller {
-    /// Holds a lease, and the member key bound to it.
+    /// Maintains a lease and the member key that is bound to it.
     pub async fn lease_loop(self: Rc<Controller>) {
         let ttl = self.policy.member_ttl;
-        // What our key should say, while we hold a lease.
+        // Record that the member key should contain while a lease is held.
         let mut desired: Option<Member> = None;
         loop {
-            match self.hold_lease(ttl, &mut desired).await {
+            match self.acquire_or_renew_lease(ttl, &mut desired).await {
                 LeaseAttempt::Held => {}
                 LeaseAttempt::NotGranted => {
                     self.sleep(LEASE_RETRY_INTERVAL).await;
@@ -129,9 +133,13 @@
         }
     }
 
-    /// Renews the lease, or asks for one if there is none; a new one starts a new incarnation, whose member record
-    /// goes to `desired`.
-    async fn hold_lease(&self, ttl: Micros, desired: &mut Option<Member>) -> LeaseAttempt {
+    /// Renews the lease, or requests one if there is none. A new lease starts a new incarnation, whose
+    /// member record is stored in `desired`.
+    async fn acquire_or_renew_lease(
+        &self,
+        ttl: Micros,
+        desired: &mut Option<Member>,
+    ) -> LeaseAttempt {
         let Some(lease) = self.membership.lease() else {
             if !self.watch_cache.loaded() {
                 return LeaseAttempt::NotGranted;
@@ -164,7 +172,7 @@
         }
     }
 
-    /// Writes the member key if it does not say what it should.
+    /// Writes the member key if it differs from the desired record.
     async fn write_member_key(
         &self,
         incarnation: Incarnation<'_>,
@@ -176,7 +184,7 @@
         };
         match self.watch_cache.transaction(&claim).await {
             TransactionOutcome::Refused(400) => self.membership.lease.set(None),
-            // A request of an earlier incarnation came late.
+            // A delayed request of an earlier incarnation was applied.
             TransactionOutcome::Conflict(_) => {
                 self.watch_cache.linearizable_read().await;
                 return MemberKeyWrite::Overwritten;
@@ -186,7 +194,7 @@
         MemberKeyWrite::Finished
     }
 
-    /// This process as an incarnation, while its lease runs as far as we know.
+    /// Returns this process as an incarnation, while it considers its lease valid.
     pub(super) fn incarnation(&self) -> Option<Incarnation<'_>> {
         let lease = self.membership.lease()?;
         let node = self.me();
--- a/src/membership/lease_renewal/tests.rs
+++ b/src/membership/lease_renewal/tests.rs
@@ -1,18 +1,25 @@
-//! Tests of the leases of one process that need its private parts.
+//! Tests of lease ownership that need private items.
 
 use crate::membership::Membership;
 
-/// A shard is ours until its term is raised: not only while the lease under which we took it runs. What an
-/// earlier process took is not.
+/// A process drives a shard until the shard's term is raised, also after the lease expired under which it
+/// claimed the shard. Shards claimed by an earlier process are not its own.
 #[test]
-fn shards_are_driven_until_somebody_takes_them() {
+fn granted_leases_remain_own_after_expiry() {
     let membership = Membership::default();
     assert!(!membership.is_own_lease(7));
     membership.lease.set(Some(7));
     assert!(membership.is_own_lease(7) && !membership.is_own_lease(6));
     membership.lease.set(None);
-    assert!(membership.is_own_lease(7), "nobody else has it yet");
-    assert_eq!(membership.lease(), None, "but nothing is claimed with it");
+    assert!(
+        membership.is_own_lease(7),
+        "no other controller has raised the terms yet"
+    );
+    assert_eq!(
+        membership.lease(),
+        None,
+        "an expired lease is not used for claims"
+    );
     membership.lease.set(Some(9));
     assert!(
         membership.is_own_lease(7) && membership.is_own_lease(9) && !membership.is_own_lease(8)
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,20 +1,21 @@
-//! Cluster membership of one controller: its lease and member key, leader election, ownership of shards,
+//! Cluster membership of one controller: its lease and member key, leader election, shard ownership,
 //! heartbeats between controllers, the cancellation watermark and the agreement on the storage layout.
 //!
-//! [`Membership`] is the state of this slice in memory. Only the loops and handlers in the files below change it;
-//! other slices read it through the methods here. What all controllers share (member keys, leader, shards,
-//! layout) is kept in the state service and read from [`crate::store::cluster_state::ClusterState`].
+//! [`Membership`] is this module's in-memory state. Only the loops and handlers in the files below modify
+//! it; other modules read it through the methods here. State shared by all controllers (member keys,
+//! leader, shards, layout) is stored in the state service and read from
+//! [`crate::store::cluster_state::ClusterState`].
 //!
 //! Each file has one concern:
-//! - `records`: values that are stored under the keys of this slice;
+//! - `records`: values stored under the keys of this module;
 //! - `lease_renewal`: the lease of this process and its member key;
-//! - `leader_election`: who leads;
+//! - `leader_election`: election of the leader;
 //! - `shard_assignment`: which controller should own which shard (pure);
-//! - `shard_ownership`: taking shards and raising their terms;
-//! - `worker_reachability`: giving shards up when workers cannot reach this controller;
-//! - `peers`: what is known of each other controller;
-//! - `peer_heartbeats`: the exchange between controllers;
-//! - `cancellation_watermark`: up to when every confirmed cancellation is known here;
+//! - `shard_ownership`: claiming shards and raising their terms;
+//! - `worker_reachability`: releasing shards when workers cannot reach this controller;
+//! - `peers`: state of each other controller;
+//! - `peer_heartbeats`: heartbeats between controllers;
+//! - `cancellation_watermark`: time before which every confirmed cancellation is in this controller's view;
 //! - `layout_agreement`: when the newer storage layout may be used.
 
 pub mod cancellation_watermark;
@@ -45,65 +46,71 @@
 use std::cell::{Cell, RefCell};
 use worker_reachability::WorkerReachability;
 
-/// This controller's own membership, and what its peers told it. Times are those of this process's steady
-/// clock.
+/// Membership state of this controller, and the latest reports of its peers. Times are those of this
+/// process's monotonic clock.
 #[derive(Default)]
 pub struct Membership {
     /// The current lease and all earlier ones of this process.
     lease: LeaseState,
     /// Own shards whose term must be raised once more.
-    pending_term_raises: RefCell<HashSet<u32>>,
-    /// Whether this controller's workers cannot reach it.
+    pending_term_increments: RefCell<HashSet<u32>>,
+    /// Whether workers cannot reach this controller.
     worker_reachability: WorkerReachability,
-    /// State of each peer by its last messages.
+    /// State of each peer by its latest messages.
     peers: PeerTable,
-    /// Up to when each peer told us of every cancellation that it may have confirmed.
+    /// For each peer, the time before which every cancellation that it may have confirmed is in this
+    /// controller's view.
     watermarks: RefCell<CancellationWatermarks>,
-    /// Until then this controller confirms no cancellation, as it promised its peers.
+    /// Time before which this controller confirms no cancellation, because of a hold that it granted to its
+    /// peers.
     confirmations_held_until: Cell<Micros>,
 }
 
 impl Membership {
-    /// The current lease, while it runs as far as we know.
+    /// Returns the current lease, while this process considers it valid.
     pub fn lease(&self) -> Option<u64> {
         self.lease.current()
     }
 
-    /// Whether this process was granted the lease at any time. Shards taken under it are driven by this process
-    /// until somebody raises their terms, also after the lease expired.
+    /// Returns whether the lease was granted to this process at any time. The process drives the shards
+    /// that it claimed under the lease until another incarnation raises their terms, even after the lease
+    /// expired.
     pub fn is_own_lease(&self, lease: u64) -> bool {
-        self.lease.is_own(lease)
+        self.lease.was_granted(lease)
     }
 
-    /// Replaces the set of own shards whose term must be raised once more: an unacknowledged start may still
-    /// reach their machines under the present term.
+    /// Replaces the set of own shards whose term must be raised once more because an unacknowledged start
+    /// may still reach their machines under the current term.
     pub fn raise_terms(&self, shards: impl Iterator<Item = u32>) {
-        let mut pending = self.pending_term_raises.borrow_mut();
+        let mut pending = self.pending_term_increments.borrow_mut();
         pending.clear();
         pending.extend(shards);
     }
 
-    /// Whether a peer said within the last two seconds that it reaches the state service.
+    /// Returns whether a peer reported within the last two seconds that it reaches the state service.
     pub fn peer_reaches_state_service(&self, name: &str, now: Micros) -> bool {
         self.peers.reaches_state_service(name, now)
     }
 
-    /// Whether this controller promised its peers to confirm no cancellation now.
+    /// Returns whether this controller currently confirms no cancellation because of a hold that it granted
+    /// to its peers.
     pub fn confirmations_held(&self, now: Micros) -> bool {
         now < self.confirmations_held_until.get()
     }
 
-    /// The session of a peer's machine that runs before its record says so, by the peer's recent heartbeat.
+    /// Returns the session of a peer's machine that is ready before its record is updated, according to a
+    /// recent heartbeat of the peer.
     pub fn ready_at_peer(&self, id: &MachineId, now: Micros) -> Option<u64> {
         self.peers.ready_session(id, now)
     }
 
-    /// Whether a peer reported at any remembered time that its machine runs.
+    /// Returns whether a peer reported within the retention time of such reports that its machine is ready.
     pub fn reported_ready_by_peer(&self, id: &MachineId) -> bool {
         self.peers.was_reported_ready(id)
     }
 
-    /// Whether each of the `peer_count` peers lately answered that it does not reach the state service either.
+    /// Returns whether each of the `peer_count` peers recently responded that it cannot reach the state
+    /// service either.
     pub fn common_outage(&self, peer_count: usize, now: Micros) -> bool {
         self.peers.common_outage(peer_count, now)
     }
--- a/src/membership/shard_ownership.rs
+++ b/src/membership/shard_ownership.rs
@@ -1,5 +1,6 @@
-//! Ownership of shards: takes those that fall to this controller and raises their terms, by compare-and-swap on the
-//! shard keys. The decision is pure; the set of terms that must be raised is in [`super::Membership`].
+//! Shard ownership: claims the shards assigned to this controller and raises their terms, by
+//! compare-and-swap on the shard keys. The decision is pure; the set of shards whose terms must be raised
+//! is in [`super::Membership`].
 
 use super::lease_renewal::Incarnation;
 use super::records::{Member, Shard};
@@ -15,36 +16,36 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// At the very start of a deployment the other controllers come up within moments: for so long a lone member
-/// takes no shards.
-const STARTUP_GRACE: Micros = SECOND;
-/// Shards are looked at no less often than this, as members also change by the passing of time.
-const CHECK_INTERVAL: Micros = SECOND / 3;
-/// Pause after a change, so that several changes that come together are looked at once.
-const CHANGE_DEBOUNCE: Micros = 50 * MILLI;
-/// Pause after a write that failed: others take shards at the same moment.
-const RETRY_PAUSE: Micros = 100 * MILLI;
+/// Time for which a lone member claims no shards when a deployment starts, as the other controllers start
+/// within moments.
+const STARTUP_GRACE_PERIOD: Micros = SECOND;
+/// Maximum interval between checks of the assignment, which also changes with time alone.
+const MAX_CHECK_INTERVAL: Micros = SECOND / 3;
+/// Delay after a change of the view, so that changes in quick succession are processed together.
+const CHANGE_DEBOUNCE_DELAY: Micros = 50 * MILLI;
+/// Delay after a failed write: other controllers claim shards at the same moment.
+const RETRY_DELAY: Micros = 100 * MILLI;
 
-/// What a claim of shards is decided on.
+/// Inputs of the decision which shards to claim.
 pub struct ShardClaim<'a> {
-    /// The cluster state as this controller sees it.
+    /// The cluster state in this controller's view.
     pub view: &'a ClusterState,
-    /// Members without those that are declared dead.
+    /// Members that are not declared dead.
     pub live_members: &'a BTreeMap<String, Member>,
-    /// Who claims.
+    /// The incarnation that claims.
     pub incarnation: Incarnation<'a>,
-    /// Time of day in microseconds.
+    /// Wall-clock time in microseconds.
     pub now: Micros,
-    /// Mutations that a transaction may have.
+    /// Maximum number of mutations in a transaction.
     pub max_mutations: usize,
 }
 
-/// The write that takes the shards that fall to an incarnation, and raises the terms of those of its own that are
-/// in `pending_term_raises`, which it takes from there. `None` if there is nothing to write or its member
-/// key does not stand.
+/// Returns the write that claims the shards assigned to an incarnation and raises the terms of those of its
+/// own shards that are in `pending_term_increments`, which are removed from that set. `None` if there is
+/// nothing to write, the incarnation has no valid member key, or it waits for other members to join.
 pub fn claim_shards(
     claim: &ShardClaim<'_>,
-    pending_term_raises: &mut HashSet<u32>,
+    pending_term_increments: &mut HashSet<u32>,
 ) -> Option<Transaction> {
     let (view, incarnation) = (claim.view, claim.incarnation);
     let member = view.members.get(incarnation.node)?;
@@ -60,11 +61,11 @@
         if desired_owners.get(&number).map(String::as_str) != Some(incarnation.node) {
             continue;
         }
-        let present = view.shards.get(&number);
-        let is_own = present.is_some_and(|shard| {
+        let current = view.shards.get(&number);
+        let is_own = current.is_some_and(|shard| {
             shard.owner == incarnation.node && shard.lease == incarnation.lease
         });
-        if is_own && !pending_term_raises.remove(&number) {
+        if is_own && !pending_term_increments.remove(&number) {
             continue;
         }
         if transaction.mutations.len() < claim.max_mutations {
@@ -74,7 +75,8 @@
     (!transaction.mutations.is_empty()).then_some(transaction)
 }
 
-/// Adds to a transaction the write by which an incarnation owns a shard, under a term one above the present one.
+/// Adds to a transaction the write by which an incarnation owns a shard, under a term one above the current
+/// one.
 fn push_shard_claim(
     transaction: &mut Transaction,
     view: &ClusterState,
@@ -86,11 +88,11 @@
         key: key.clone(),
         version: view.version(&key),
     });
-    let present_term = view.shards.get(&number).map_or(0, |shard| shard.term);
+    let current_term = view.shards.get(&number).map_or(0, |shard| shard.term);
     let shard = Shard {
         owner: incarnation.node.to_string(),
         lease: incarnation.lease,
-        term: present_term + 1,
+        term: current_term + 1,
     };
     transaction.mutations.push(Mutation::Put {
         key,
@@ -99,49 +101,49 @@
     });
 }
 
-/// Whether a deployment has only just started, and the other controllers are about to join.
+/// Returns whether a deployment has only just started and the other controllers are expected to join.
 fn awaits_other_members(view: &ClusterState, member: &Member, now: Micros) -> bool {
-    let just_started = now.saturating_sub(member.since) < STARTUP_GRACE;
+    let just_started = now.saturating_sub(member.since) < STARTUP_GRACE_PERIOD;
     just_started && view.members.len() == 1 && view.shards.is_empty()
 }
 
 impl Controller {
-    /// Takes the shards that fall to this controller, whenever the view changes.
+    /// Claims the shards assigned to this controller whenever the view changes.
     pub async fn shard_loop(self: Rc<Controller>) {
         loop {
             let change = self.watch_cache.notifier().listen();
             futures_lite::FutureExt::or(change, async {
-                self.sleep(CHECK_INTERVAL).await;
+                self.sleep(MAX_CHECK_INTERVAL).await;
             })
             .await;
-            self.sleep(CHANGE_DEBOUNCE).await;
+            self.sleep(CHANGE_DEBOUNCE_DELAY).await;
             if !self.watch_cache.loaded() || !self.watch_cache.current() {
                 continue;
             }
             self.check_worker_reachability();
-            let Some(claim) = self.desired_shards() else {
+            let Some(claim) = self.shard_claim_transaction() else {
                 continue;
             };
             match self.watch_cache.transaction(&claim).await {
                 TransactionOutcome::Done(_) => {
-                    tracing::info!(shards = claim.mutations.len(), "shards taken");
-                    // The term counts once everything before it is in the view.
+                    tracing::info!(shards = claim.mutations.len(), "shards claimed");
+                    // The new term is usable only once all earlier writes are in the view.
                     self.watch_cache.linearizable_read().await;
                 }
                 _ => {
                     self.watch_cache.linearizable_read().await;
-                    self.sleep(RETRY_PAUSE).await;
+                    self.sleep(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// The write that takes the shards that fall to this controller now, if any.
-    fn desired_shards(&self) -> Option<Transaction> {
+    /// Returns the write that claims the shards currently assigned to this controller, if any.
+    fn shard_claim_transaction(&self) -> Option<Transaction> {
         let incarnation = self.incarnation()?;
         let view = self.watch_cache.view();
         let max_mutations = self.state_limits().max_mutations;
-        let mut pending_term_raises = self.membership.pending_term_raises.borrow_mut();
+        let mut pending_term_increments = self.membership.pending_term_increments.borrow_mut();
         let claim = ShardClaim {
             view: &view,
             live_members: &self.membership.peers.live_members(&view.members),
@@ -149,6 +151,6 @@
             now: wall(),
             max_mutations,
         };
-        claim_shards(&claim, &mut pending_term_raises)
+        claim_shards(&claim, &mut pending_term_increments)
     }
 }
