--- a/src/membership/peer_heartbeats.rs
+++ b/src/membership/peer_heartbeats.rs
@@ -1,6 +1,6 @@
-//! Heartbeats between controllers: each sends its state to all others every half second and takes in their answers.
-//! Changes [`super::peers::PeerTable`], the cancellation watermarks, the promise to confirm no
-//! cancellation and the time of the last redirect that came back.
+//! Heartbeats between controllers: each controller sends its state to all others every half second and
+//! processes their responses. Updates [`super::peers::PeerTable`], the cancellation watermarks, the hold on
+//! confirming cancellations and the time of the latest returned redirect.
 
 use super::cancellation_watermark::{
     CancellationWatermarks, DigestExchange, DigestSource, MAX_DIGEST_ENTRIES, cancellation_digest,
@@ -16,15 +16,15 @@
 use http_types::Method;
 use std::rc::Rc;
 
-/// How often a controller calls each peer. Two failed calls declare it unreachable, well within its lease.
+/// Interval between calls to a peer. Two failed calls mark the peer as unreachable, well within its lease.
 const HEARTBEAT_INTERVAL: Micros = SECOND / 2;
-/// How long a call to a peer may take.
+/// Timeout of a call to a peer.
 const CALL_TIMEOUT: Micros = SECOND;
-/// A heartbeat names so many ready machines at most, to bound its size.
+/// Maximum number of ready machines in one heartbeat; bounds its size.
 pub const MAX_READY_MACHINES: usize = 500;
 
 impl Controller {
-    /// Sends heartbeats to all peers, for ever. Calls do not wait for one another.
+    /// Sends heartbeats to all peers at a fixed interval, until the process ends. Calls run concurrently.
     pub async fn peer_loop(self: Rc<Controller>) {
         loop {
             for peer in self.settings.peers.clone() {
@@ -37,11 +37,11 @@
         }
     }
 
-    /// Sends one heartbeat, which asks for a cancellation digest, and takes in the answer.
+    /// Sends one heartbeat, which requests a cancellation digest, and processes the response.
     async fn exchange_heartbeat(&self, peer: Peer) {
         let redirected_back = self.workers.redirected_back(&peer.name, self.clock.now());
-        let question = self.own_heartbeat(self.watch_cache.current(), redirected_back, None);
-        let body = Some(pack(&question));
+        let request = self.own_heartbeat(self.watch_cache.current(), redirected_back, None);
+        let body = Some(pack(&request));
         let asked_at = self.clock.now();
         let response = self
             .http
@@ -57,7 +57,7 @@
             .ok()
             .and_then(|response| unpack::<PeerHeartbeat>(&response.body))
         {
-            Some(answer) => self.record_answer(&peer.name, asked_at, question.revision, answer),
+            Some(reply) => self.record_response(&peer.name, asked_at, request.revision, reply),
             None => {
                 if self.membership.peers.record_failure(&peer.name) {
                     self.watch_cache.notifier().notify();
@@ -66,32 +66,33 @@
         }
     }
 
-    /// Takes in the answer to a question about what was cancelled after a revision.
-    fn record_answer(
+    /// Records the response to a request for the cancellations after a revision.
+    fn record_response(
         &self,
         peer: &str,
         asked_at: Micros,
         after_revision: u64,
-        answer: PeerHeartbeat,
+        response: PeerHeartbeat,
     ) {
         let exchange = DigestExchange {
             peer,
             asked_at,
             answered_at: self.clock.now(),
             after_revision,
-            answer: &answer,
+            answer: &response,
         };
-        // Only the answer to a question of ours shows as of when it vouches.
+        // Only a response to a request of this controller shows up to which time the peer's digest is
+        // complete.
         let cancelled = self
             .membership
             .watermarks
             .borrow_mut()
             .record_answer(&exchange);
         self.watch_cache.merge_cancelled(cancelled);
-        self.record_peer_heartbeat(answer, HeartbeatOrigin::AnswerToQuestionAt(asked_at));
+        self.record_peer_heartbeat(response, HeartbeatOrigin::ResponseToRequestAt(asked_at));
     }
 
-    /// Takes in a heartbeat, if its sender is a peer by the settings.
+    /// Records a heartbeat if its sender is a peer named in the settings.
     fn record_peer_heartbeat(&self, heartbeat: PeerHeartbeat, origin: HeartbeatOrigin) {
         let mut peers = self.settings.peers.iter();
         if !peers.any(|peer| peer.name == heartbeat.node) {
@@ -103,30 +104,32 @@
             .record_heartbeat(heartbeat, origin, now);
     }
 
-    /// Answers a peer's heartbeat.
+    /// Handles a peer's heartbeat and returns the response.
     pub fn on_peer_heartbeat(&self, body: &[u8]) -> Response {
         let Some(heartbeat) = unpack::<PeerHeartbeat>(body) else {
             return Response::status(400);
         };
         let now = self.clock.now();
         if self.misses_heartbeats_of_any(&heartbeat.redirected_back, now) {
-            self.membership.worker_reachability.note_redirect_back(now);
+            self.membership
+                .worker_reachability
+                .record_returned_redirect(now);
         }
         let state_service_reachable = self.watch_cache.current();
         let digest = self.own_digest(state_service_reachable, &heartbeat);
-        // The promise is in force before it is given.
-        let held = &self.membership.confirmations_held_until;
-        held.set(held.get().max(held_until(&digest, now)));
+        // The hold takes effect before the response that grants it is sent.
+        let confirmations_held_until = &self.membership.confirmations_held_until;
+        confirmations_held_until.set(confirmations_held_until.get().max(held_until(&digest, now)));
         self.record_peer_heartbeat(heartbeat, HeartbeatOrigin::Unsolicited);
-        let answer = self.own_heartbeat(state_service_reachable, Vec::new(), Some(digest));
+        let response = self.own_heartbeat(state_service_reachable, Vec::new(), Some(digest));
         Response {
             status: 200,
-            body: pack(&answer),
+            body: pack(&response),
             retry_after: None,
         }
     }
 
-    /// What this controller tells a peer of itself.
+    /// Returns the state of this controller as sent to a peer.
     fn own_heartbeat(
         &self,
         state_service_reachable: bool,
@@ -144,11 +147,12 @@
         }
     }
 
-    /// The cancellations that this controller knows of after the revision that a peer asks about.
+    /// Returns the digest of the cancellations in this controller's view after the revision that a peer
+    /// requests.
     fn own_digest(
         &self,
         state_service_reachable: bool,
-        question: &PeerHeartbeat,
+        request: &PeerHeartbeat,
     ) -> CancellationDigest {
         let source = DigestSource {
             view: &self.watch_cache.view(),
@@ -157,12 +161,13 @@
             process_age: self.clock.age(),
             max_entries: MAX_DIGEST_ENTRIES,
         };
-        cancellation_digest(&source, question)
+        cancellation_digest(&source, request)
     }
 
-    /// Our machines that run while their records still say that they boot, with their sessions. The leader and
-    /// the owner who places gangs on everybody's machines need to know, and a write for each of them
-    /// would come at a moment when writes are the bottleneck.
+    /// Returns this controller's machines that are ready while their records still say that they boot, with
+    /// their sessions. The leader, and the owner that places gangs on the machines of all controllers, need
+    /// this information, and writing it for each machine would add load at a moment when writes are the
+    /// bottleneck.
     fn unrecorded_ready_machines(&self) -> Vec<(String, u64)> {
         let view = self.watch_cache.view();
         let now = self.clock.now();
@@ -183,7 +188,8 @@
             .collect()
     }
 
-    /// Up to when, by the steady clock, every cancellation that any controller may have confirmed is known here.
+    /// Returns the time, by the monotonic clock, before which every cancellation that any controller may
+    /// have confirmed is in this controller's view.
     pub fn cancellation_watermark(&self) -> Micros {
         let names = self.settings.peers.iter().map(|peer| peer.name.as_str());
         let watermarks: &CancellationWatermarks = &self.membership.watermarks.borrow();
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -1,6 +1,6 @@
-//! What this controller knows of each of its peers, and what follows from it: who is declared dead, whether the
-//! state service is out of reach for all, which of their machines run. Owns [`PeerTable`]; only the
-//! exchange of heartbeats (`peer_heartbeats`) changes it. Times are those of the steady clock.
+//! State of each peer, and the conclusions drawn from it: which members are declared dead, whether no
+//! controller reaches the state service, which of the peers' machines are ready. Owns [`PeerTable`], which
+//! only the exchange of heartbeats (`peer_heartbeats`) modifies. Times are those of the monotonic clock.
 
 use super::records::Member;
 use crate::ids::MachineId;
@@ -10,60 +10,65 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// So many calls to a peer must fail in a row before it counts as unreachable: a single one is lost too easily.
-const UNREACHABLE_AFTER_FAILURES: u32 = 2;
-/// What a peer said of its machines counts for so long: a few heartbeats.
+/// Consecutive failed calls after which a peer counts as unreachable; a single lost call is too common to
+/// count.
+const UNREACHABLE_FAILURE_COUNT: u32 = 2;
+/// Validity of a peer's report that a machine is ready: a few heartbeats.
 const READY_REPORT_VALIDITY: Micros = 3 * SECOND;
-/// That a machine was reported at all is remembered for so long, as its record may be written much later.
+/// Time for which the report that a machine was ready is retained, as the machine's record may be written
+/// much later.
 const READY_REPORT_RETENTION: Micros = 10 * 60 * SECOND;
-/// That a peer does not reach the state service counts for so long after the question that showed it.
-const OUTAGE_VALIDITY: Micros = 4 * SECOND;
-/// That a peer reaches the state service counts for so long: requests are forwarded to it on that.
-const REACHABLE_VALIDITY: Micros = 2 * SECOND;
-
-/// What is known of one peer.
+/// Validity of a peer's report that it cannot reach the state service, from the request that the peer
+/// responded to.
+const OUTAGE_REPORT_VALIDITY: Micros = 4 * SECOND;
+/// Validity of a peer's report that it reaches the state service; requests are forwarded to the peer on
+/// this basis.
+const REACHABILITY_REPORT_VALIDITY: Micros = 2 * SECOND;
+
+/// State of one peer.
 #[derive(Clone, Debug)]
 pub(super) struct PeerState {
-    /// When a message of it arrived last: an answer or one of its own.
+    /// Arrival time of its latest message, either a response or an unsolicited heartbeat.
     last_message_at: Micros,
-    /// Whether it reaches the state service, by that message.
+    /// Whether it reaches the state service, according to that message.
     state_service_reachable: bool,
-    /// When we asked the question that it answered by saying that it does not reach the state service. Messages
-    /// that it sent unasked may be old: those that a partition held back arrive when it is over, those
-    /// of earlier incarnations as well.
+    /// Time at which this controller sent the request to which the peer responded that it cannot reach the
+    /// state service. Unsolicited messages do not count, as they may be old: messages delayed by a
+    /// partition arrive when it ends, including those of earlier incarnations.
     outage_confirmed_at: Option<Micros>,
-    /// Calls to it that failed in a row.
+    /// Number of consecutive failed calls to it.
     consecutive_failures: u32,
-    /// Peers that it cannot reach itself, by that message.
+    /// Peers that it cannot reach itself, according to that message.
     unreachable_peers: Vec<String>,
 }
 
 impl PeerState {
     fn is_unreachable(&self) -> bool {
-        self.consecutive_failures >= UNREACHABLE_AFTER_FAILURES
+        self.consecutive_failures >= UNREACHABLE_FAILURE_COUNT
     }
 }
 
-/// A peer's machine that runs while its record still says that it boots.
+/// Report of a peer's machine that is ready while its record still says that it boots.
 #[derive(Clone, Copy, Debug)]
 struct ReadyReport {
     /// Session of the machine's agent.
     session: u64,
-    /// When the peer's heartbeat arrived.
+    /// Arrival time of the peer's heartbeat.
     reported_at: Micros,
 }
 
-/// How a peer's heartbeat came to us.
+/// Origin of a peer's heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HeartbeatOrigin {
-    /// It answers a question that we asked at this time.
-    AnswerToQuestionAt(Micros),
-    /// The peer sent it on its own. It may be old.
+    /// A response to a request that this controller sent at this time.
+    ResponseToRequestAt(Micros),
+    /// Sent by the peer without a request. It may be old.
     Unsolicited,
 }
 
-/// Since when a peer is known not to reach the state service: only its answer to a question of ours shows that it
-/// still did not when we asked. That it does is believed of any message.
+/// Returns the latest time at which a peer is confirmed not to have reached the state service. Only a
+/// response to a request of this controller shows that the peer still could not reach it when the request
+/// was sent; that the peer reaches the service is accepted from any message.
 fn outage_confirmed_at(
     state_service_reachable: bool,
     origin: HeartbeatOrigin,
@@ -71,22 +76,22 @@
 ) -> Option<Micros> {
     match (state_service_reachable, origin) {
         (true, _) => None,
-        (false, HeartbeatOrigin::AnswerToQuestionAt(asked_at)) => Some(asked_at),
+        (false, HeartbeatOrigin::ResponseToRequestAt(asked_at)) => Some(asked_at),
         (false, HeartbeatOrigin::Unsolicited) => previous,
     }
 }
 
-/// What is known of all peers.
+/// State of all peers.
 #[derive(Default)]
 pub(super) struct PeerTable {
-    /// By name; peers that never sent anything are not in it.
+    /// By name; contains only peers from which a heartbeat has arrived.
     states: RefCell<HashMap<String, PeerState>>,
-    /// Peers' machines that run before their records say so.
+    /// Peers' machines that are ready before their records are updated.
     ready_machines: RefCell<HashMap<MachineId, ReadyReport>>,
 }
 
 impl PeerTable {
-    /// Takes in a heartbeat of a peer.
+    /// Records a heartbeat of a peer.
     pub(super) fn record_heartbeat(
         &self,
         heartbeat: PeerHeartbeat,
@@ -121,16 +126,16 @@
         states.insert(heartbeat.node, state);
     }
 
-    /// Notes that a call to a peer failed. Whether it counts as unreachable from this call on.
+    /// Records a failed call to a peer. Returns whether the peer counts as unreachable from this call on.
     pub(super) fn record_failure(&self, name: &str) -> bool {
         let mut states = self.states.borrow_mut();
         states.get_mut(name).is_some_and(|peer| {
             peer.consecutive_failures += 1;
-            peer.consecutive_failures == UNREACHABLE_AFTER_FAILURES
+            peer.consecutive_failures == UNREACHABLE_FAILURE_COUNT
         })
     }
 
-    /// Names of the peers that did not answer our last calls.
+    /// Returns the names of the peers that did not respond to the latest calls.
     pub(super) fn unreachable(&self) -> Vec<String> {
         self.states
             .borrow()
@@ -140,22 +145,23 @@
             .collect()
     }
 
-    /// Members without those that are declared dead: nobody reaches them any more, although their leases still
-    /// run. Taking over from one that lives is safe, since terms fence it, but costs the fencing of its
-    /// machines: so all peers that answer us must find the same, and at least one must.
+    /// Returns the members that are not declared dead. A member is declared dead if no controller can reach
+    /// it any more, although its lease has not expired. Taking over from a live member is safe, since terms
+    /// fence it, but its machines must then be fenced: therefore all peers that respond to this controller
+    /// must report the member as unreachable too, and at least one peer must respond.
     pub(super) fn live_members(
         &self,
         members: &BTreeMap<String, Member>,
     ) -> BTreeMap<String, Member> {
         let states = self.states.borrow();
-        let answering: Vec<&PeerState> = states
+        let responding: Vec<&PeerState> = states
             .values()
             .filter(|peer| !peer.is_unreachable())
             .collect();
         let declared_dead = |name: &str| {
             states.get(name).is_some_and(PeerState::is_unreachable)
-                && !answering.is_empty()
-                && answering
+                && !responding.is_empty()
+                && responding
                     .iter()
                     .all(|peer| peer.unreachable_peers.iter().any(|other| other == name))
         };
@@ -166,25 +172,27 @@
             .collect()
     }
 
-    /// Whether a peer said a moment ago that it reaches the state service.
+    /// Returns whether a peer reported a moment ago that it reaches the state service.
     pub(super) fn reaches_state_service(&self, name: &str, now: Micros) -> bool {
         self.states.borrow().get(name).is_some_and(|peer| {
             peer.state_service_reachable
-                && now.saturating_sub(peer.last_message_at) < REACHABLE_VALIDITY
+                && now.saturating_sub(peer.last_message_at) < REACHABILITY_REPORT_VALIDITY
         })
     }
 
-    /// Whether the state service is out of reach for every one of so many peers.
+    /// Returns whether each of the `peer_count` peers recently responded that it cannot reach the state
+    /// service.
     pub(super) fn common_outage(&self, peer_count: usize, now: Micros) -> bool {
         let states = self.states.borrow();
         states.len() == peer_count
             && states.values().all(|peer| {
                 peer.outage_confirmed_at
-                    .is_some_and(|at| now.saturating_sub(at) < OUTAGE_VALIDITY)
+                    .is_some_and(|at| now.saturating_sub(at) < OUTAGE_REPORT_VALIDITY)
             })
     }
 
-    /// The session of a peer's machine that runs before its record says so, by the peer's recent heartbeat.
+    /// Returns the session of a peer's machine that is ready before its record is updated, according to a
+    /// recent heartbeat of the peer.
     pub(super) fn ready_session(&self, id: &MachineId, now: Micros) -> Option<u64> {
         self.ready_machines
             .borrow()
@@ -193,7 +201,7 @@
             .map(|report| report.session)
     }
 
-    /// Whether a peer reported at any remembered time that its machine runs.
+    /// Returns whether a peer reported within the retention time that its machine is ready.
     pub(super) fn was_reported_ready(&self, id: &MachineId) -> bool {
         self.ready_machines.borrow().contains_key(id)
     }
--- a/src/membership/peers/tests.rs
+++ b/src/membership/peers/tests.rs
@@ -1,11 +1,12 @@
-//! Tests of what is known of peers that need its private parts.
+//! Tests of the peer table that need private items.
 
 use super::*;
 
-/// What a peer says unasked may be old, or of its earlier incarnation: with it a controller that is cut off from
-/// the state service alone would take that for an outage, and call itself as good as any other.
+/// An unsolicited message of a peer may be old or from its earlier incarnation. If it counted, a controller
+/// that is partitioned from the state service alone would assume an outage for all controllers and report
+/// itself healthy.
 #[test]
-fn an_unsolicited_message_confirms_no_outage() {
+fn unsolicited_message_does_not_confirm_outage() {
     let record = |table: &PeerTable, reachable, origin| {
         let mut states = table.states.borrow_mut();
         let previous = states.get("b").and_then(|peer| peer.outage_confirmed_at);
@@ -21,23 +22,23 @@
     let now = 100 * SECOND;
     let table = PeerTable::default();
     record(&table, false, HeartbeatOrigin::Unsolicited);
-    assert!(!table.common_outage(1, now), "nobody asked");
-    let answer = HeartbeatOrigin::AnswerToQuestionAt(now - SECOND);
-    record(&table, false, answer);
+    assert!(!table.common_outage(1, now), "no request was sent");
+    let response = HeartbeatOrigin::ResponseToRequestAt(now - SECOND);
+    record(&table, false, response);
     assert!(table.common_outage(1, now));
     record(&table, false, HeartbeatOrigin::Unsolicited);
     assert!(
-        !table.common_outage(1, now + OUTAGE_VALIDITY),
-        "asked long ago"
+        !table.common_outage(1, now + OUTAGE_REPORT_VALIDITY),
+        "the request is too old"
     );
     record(&table, true, HeartbeatOrigin::Unsolicited);
     assert!(!table.common_outage(1, now));
 }
 
-/// A member whose lease still runs is declared dead only if we do not reach it, at least one peer answers us, and
-/// all that answer find the same.
+/// A member whose lease has not expired is declared dead only if this controller cannot reach it, at least
+/// one peer responds, and all peers that respond report it as unreachable too.
 #[test]
-fn a_member_is_declared_dead_only_if_all_that_answer_agree() {
+fn member_is_declared_dead_only_if_all_responding_peers_agree() {
     let names = ["b", "c", "d"];
     let members: BTreeMap<String, Member> = names
         .iter()
@@ -57,17 +58,17 @@
     for name in names {
         record(name, &["b"]);
     }
-    assert!(is_live("b"), "we reach it");
+    assert!(is_live("b"), "this controller still reaches it");
     assert!(!table.record_failure("b"));
     assert!(table.record_failure("b"));
     assert!(!is_live("b"));
-    assert!(!table.record_failure("b"), "that was said before");
+    assert!(!table.record_failure("b"), "already counts as unreachable");
     record("d", &[]);
-    assert!(is_live("b"), "another reaches it");
+    assert!(is_live("b"), "another peer reaches it");
     for name in ["c", "d"] {
         assert!(!table.record_failure(name));
         assert!(table.record_failure(name));
     }
-    assert!(is_live("b"), "nobody answers us");
+    assert!(is_live("b"), "no peer responds");
     assert_eq!(table.unreachable().len(), 3);
 }
--- a/src/membership/worker_reachability.rs
+++ b/src/membership/worker_reachability.rs
@@ -1,51 +1,55 @@
-//! Whether workers can reach this controller. If only they cannot, it gives its shards up: its member record says
-//! so, and others take them (`shard_assignment`). Owns [`WorkerReachability`]; the shard loop and the handler of
-//! peer heartbeats change it.
+//! Detection that workers cannot reach this controller. If they cannot although it is otherwise connected,
+//! the controller releases its shards: its member record states that it is unreachable, and other
+//! controllers claim the shards (`shard_assignment`). Owns [`WorkerReachability`], which the shard loop and
+//! the handler of peer heartbeats modify.
 
 use crate::controller::Controller;
 use crate::time::{Micros, SECOND};
 use std::cell::Cell;
 
-/// Silence of our machines, or time since a redirect came back, within which we look whether it is us.
-const NO_HEARTBEATS: Micros = 6 * SECOND;
-/// How often the check runs; it looks at every machine.
+/// Time without a heartbeat from any machine after which workers are considered unable to reach this
+/// controller. Also the time for which a returned redirect is evidence of that.
+const HEARTBEAT_LOSS_TIMEOUT: Micros = 6 * SECOND;
+/// Interval between checks; each check iterates over all machines.
 const CHECK_INTERVAL: Micros = SECOND / 4;
-/// How long a controller that workers could not reach takes no shards: it cannot tell when they reach it again,
-/// as they report to others meanwhile, and tries anew after this.
-const UNREACHABLE_PAUSE: Micros = 30 * SECOND;
+/// Time for which a controller that workers could not reach takes no shards. It cannot detect when they
+/// reach it again, as they report to other controllers in the meantime, and therefore retries after this
+/// time.
+const UNREACHABLE_BACKOFF_TIME: Micros = 30 * SECOND;
 
-/// Whether workers reach this controller, and what shows it. Times are those of the steady clock.
+/// Whether workers reach this controller, and the evidence for it. Times are those of the monotonic clock.
 #[derive(Default)]
 pub(super) struct WorkerReachability {
-    /// Since when workers are taken not to reach us, if so.
+    /// Time since which workers are considered unable to reach this controller, if they are.
     unreachable_since: Cell<Option<Micros>>,
-    /// When a peer told us last that machines which it sent to us came back to it.
-    last_redirect_back: Cell<Micros>,
-    /// When the check ran last.
-    last_check: Cell<Micros>,
+    /// Time of the latest report by a peer that machines that it redirected to this controller came back to
+    /// it.
+    last_returned_redirect_at: Cell<Micros>,
+    /// Time of the latest check.
+    last_check_at: Cell<Micros>,
 }
 
-/// What shows that workers cannot reach a controller.
+/// Evidence that workers cannot reach a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UnreachableEvidence {
-    /// A peer sent machines here, and they came back to it.
+    /// A peer redirected machines to the controller, and they came back to the peer.
     RedirectedBack,
-    /// No machine has been heard for `NO_HEARTBEATS`.
+    /// No heartbeat of any machine has arrived within `HEARTBEAT_LOSS_TIMEOUT`.
     Silence,
 }
 
-/// Whether something shows that workers cannot reach this controller, and what. `last_heartbeat` is the latest of
-/// any machine; without machines silence shows nothing.
+/// Returns the evidence that workers cannot reach this controller, if there is any. `last_heartbeat` is the
+/// time of the latest heartbeat of any machine; without machines, missing heartbeats are no evidence.
 fn unreachable_evidence(
-    last_redirect_back: Micros,
+    last_returned_redirect_at: Micros,
     last_heartbeat: Option<Micros>,
     now: Micros,
 ) -> Option<UnreachableEvidence> {
-    if now.saturating_sub(last_redirect_back) < NO_HEARTBEATS {
+    if now.saturating_sub(last_returned_redirect_at) < HEARTBEAT_LOSS_TIMEOUT {
         return Some(UnreachableEvidence::RedirectedBack);
     }
     last_heartbeat
-        .is_some_and(|heard| now.saturating_sub(heard) > NO_HEARTBEATS)
+        .is_some_and(|received_at| now.saturating_sub(received_at) > HEARTBEAT_LOSS_TIMEOUT)
         .then_some(UnreachableEvidence::Silence)
 }
 
@@ -54,20 +58,21 @@
         self.unreachable_since.get().is_some()
     }
 
-    pub(super) fn note_redirect_back(&self, now: Micros) {
-        self.last_redirect_back.set(now);
+    pub(super) fn record_returned_redirect(&self, now: Micros) {
+        self.last_returned_redirect_at.set(now);
     }
 
-    /// Whether the check should run now. Ends the pause of a controller that gave its shards up when it is over.
+    /// Returns whether the check should run now. Ends the backoff of a controller that released its shards
+    /// once its time is over.
     fn check_due(&self, now: Micros) -> bool {
-        if now.saturating_sub(self.last_check.get()) < CHECK_INTERVAL {
+        if now.saturating_sub(self.last_check_at.get()) < CHECK_INTERVAL {
             return false;
         }
-        self.last_check.set(now);
+        self.last_check_at.set(now);
         let Some(since) = self.unreachable_since.get() else {
             return true;
         };
-        if now.saturating_sub(since) > UNREACHABLE_PAUSE {
+        if now.saturating_sub(since) > UNREACHABLE_BACKOFF_TIME {
             self.unreachable_since.set(None);
         }
         false
@@ -75,7 +80,8 @@
 }
 
 impl Controller {
-    /// Gives our shards up when it is us whom the workers cannot reach, and others could take them.
+    /// Releases this controller's shards if workers cannot reach it, as opposed to single failed machines,
+    /// and there are other members that could claim them.
     pub(super) fn check_worker_reachability(&self) {
         let now = self.clock.now();
         let reachability = &self.membership.worker_reachability;
@@ -91,17 +97,19 @@
             .values()
             .map(|machine| machine.heartbeat.last_contact_at)
             .max();
-        let last_redirect_back = reachability.last_redirect_back.get();
-        if let Some(evidence) = unreachable_evidence(last_redirect_back, last_heartbeat, now) {
+        let last_returned_redirect_at = reachability.last_returned_redirect_at.get();
+        if let Some(evidence) = unreachable_evidence(last_returned_redirect_at, last_heartbeat, now)
+        {
             tracing::warn!(
                 ?evidence,
-                "workers cannot reach this controller, shards given up"
+                "workers cannot reach this controller; releasing its shards"
             );
             reachability.unreachable_since.set(Some(now));
         }
     }
 
-    /// Whether we miss heartbeats of a machine that a peer sent here and that came back to it.
+    /// Returns whether heartbeats are missing from any machine that a peer redirected to this controller
+    /// and that came back to the peer.
     pub(super) fn misses_heartbeats_of_any(&self, redirected_back: &[String], now: Micros) -> bool {
         let machines = self.workers.machines();
         redirected_back.iter().any(|id| {
