--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,5 +1,5 @@
-//! Team quotas: what each team uses, is guaranteed and may still start. The ledger belongs to one
-//! scheduling run and ends with it; nothing here is stored.
+//! Team quotas: usage, guarantees and remaining headroom of each team. The ledger belongs to one scheduling
+//! run and ends with it; nothing here is stored.
 
 use crate::jobs::model::{JobId, JobSpec, Resources};
 use crate::settings::Team;
@@ -7,55 +7,56 @@
 use crate::wire::user::{JobKind, Priority};
 use foldhash::HashMap;
 
-/// What a team's tasks take, and would take if all that wait ran too. CPUs and GPUs in thousandths.
+/// Resources of a team's placed tasks, and its demand, which includes its waiting tasks as well. CPUs and GPUs
+/// in thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct TeamUsage {
     cpus: i64,
     gpus: i64,
-    wanted_cpus: i64,
-    wanted_gpus: i64,
+    demand_cpus: i64,
+    demand_gpus: i64,
 }
 
-/// What is reserved of a team's limit for work that cannot start yet. Without it small tasks of lower
-/// priority take every CPU that is released, and work that needs several at once, or is placed by another
-/// controller, never gets them.
+/// Resources reserved within a team's limit for work that cannot start yet. Without reservations, small
+/// tasks of lower priority would take every CPU that is released, and work that needs several at once, or
+/// that another controller places, would never get them.
 #[derive(Clone, Debug, Default)]
 struct Reservations {
-    /// Waiting tasks of high priority: services as a rule.
+    /// For waiting tasks of high priority, usually services.
     high_priority: Resources,
-    /// Starved classes, up to their minimum share.
+    /// For starved classes, up to their minimum share.
     minimum_share: Resources,
     gang: Option<GangReservation>,
-    /// Gangs have their share: no further one may start.
-    gangs_closed: bool,
+    /// Whether gangs already have their share, so that no further gang may start.
+    further_gangs_blocked: bool,
 }
 
-/// What is reserved for one gang.
+/// Reservation for one gang.
 #[derive(Clone, Debug)]
 struct GangReservation {
     id: JobId,
     resources: Resources,
-    /// It has waited so long that other gangs wait for it too.
-    before_other_gangs: bool,
-    /// What will have ended before it starts, and does not count as used for it.
-    released_by_then: Resources,
+    /// Whether the gang has waited so long that other gangs must respect its reservation.
+    blocks_other_gangs: bool,
+    /// Resources expected to be released before the gang starts; for this gang they do not count as used.
+    released_before_start: Resources,
 }
 
-/// What a task is to its team's limit: which reservations stand before it.
+/// Class of a task within its team's limit, which determines the reservations that the task must respect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaVerdict<'a> {
-    /// High priority: no reservation stands before it.
+    /// High priority: takes precedence over all reservations.
     WithinGuarantee,
     /// Within the minimum share of a starved class.
     MinimumShare,
     /// A gang.
     Gang(&'a JobId),
-    /// Any other.
+    /// Any other task.
     Ordinary,
 }
 
-/// Usage and reservations of all teams during a scheduling run: it begins with what is placed, and what
-/// the run places counts at once.
+/// Usage and reservations of all teams during a scheduling run. The ledger starts from the placed tasks, and
+/// each task that the run places is counted immediately.
 pub struct QuotaLedger<'a> {
     teams: &'a [Team],
     usage: HashMap<&'a str, TeamUsage>,
@@ -63,7 +64,7 @@
 }
 
 impl<'a> QuotaLedger<'a> {
-    /// A ledger with what is placed, and what waits and may start.
+    /// Returns a ledger of the placed tasks and of the waiting tasks that may start.
     pub fn open(view: &'a ClusterState, teams: &'a [Team]) -> QuotaLedger<'a> {
         let mut usage: HashMap<&str, TeamUsage> = HashMap::default();
         for (team, placed) in &view.indexes().teams {
@@ -71,20 +72,21 @@
             *team_usage = TeamUsage {
                 cpus: placed.cpus,
                 gpus: placed.gpus,
-                wanted_cpus: placed.cpus,
-                wanted_gpus: placed.gpus,
+                demand_cpus: placed.cpus,
+                demand_gpus: placed.gpus,
             };
         }
         let mut reservations: HashMap<&str, Reservations> = HashMap::default();
-        // Without guarantees and limits what is wanted is never read.
-        let has_quota = |t: &Team| t.cpus > 0 || t.gpus > 0 || t.cpus_max > 0 || t.gpus_max > 0;
+        // The demand is read only for teams with a guarantee or a limit.
+        let has_quota =
+            |team: &Team| team.cpus > 0 || team.gpus > 0 || team.cpus_max > 0 || team.gpus_max > 0;
         let waiting = teams.iter().any(has_quota).then(|| view.waiting());
-        // What waits for other jobs takes no part of its team's guarantee or limit.
+        // Jobs that wait for other jobs do not count towards their team's guarantee or limit.
         for (_, job) in waiting.into_iter().flatten().filter(|(_, job)| job.ready) {
             let per_task = &job.spec.resources;
             let team_usage = usage.entry(&job.spec.team).or_default();
-            team_usage.wanted_cpus += per_task.cpus * i64::from(job.waiting);
-            team_usage.wanted_gpus += per_task.gpus * i64::from(job.waiting);
+            team_usage.demand_cpus += per_task.cpus * i64::from(job.waiting);
+            team_usage.demand_gpus += per_task.gpus * i64::from(job.waiting);
             if job.spec.priority <= Priority::High && job.spec.kind != JobKind::Gang {
                 let reserved = reservations.entry(&job.spec.team).or_default();
                 let queued = per_task.for_tasks(i64::from(job.queued()));
@@ -99,34 +101,35 @@
     }
 
     fn team(&self, name: &str) -> Option<&'a Team> {
-        self.teams.iter().find(|t| t.name == name)
+        self.teams.iter().find(|team| team.name == name)
     }
 
     fn usage(&self, name: &str) -> TeamUsage {
         self.usage.get(name).copied().unwrap_or_default()
     }
 
-    /// Whether all of a team's unfinished jobs fit into its guarantee together.
+    /// Returns whether all unfinished jobs of a team fit into its guarantee together.
     pub fn entitled(&self, name: &str) -> bool {
         let usage = self.usage(name);
-        self.team(name).is_some_and(|t| {
-            (t.cpus > 0 || t.gpus > 0)
+        self.team(name).is_some_and(|team| {
+            (team.cpus > 0 || team.gpus > 0)
                 && self.usage.contains_key(name)
-                && usage.wanted_cpus <= t.cpus
-                && usage.wanted_gpus <= t.gpus
+                && usage.demand_cpus <= team.cpus
+                && usage.demand_gpus <= team.gpus
         })
     }
 
-    /// Whether a team's limit keeps some of its work waiting.
+    /// Returns whether a team's limit keeps some of its work waiting.
     pub fn binds(&self, name: &str) -> bool {
         let usage = self.usage(name);
-        let over = |max, wanted| max > 0 && wanted > max;
-        self.team(name).is_some_and(|t| {
-            over(t.cpus_max, usage.wanted_cpus) || over(t.gpus_max, usage.wanted_gpus)
+        let exceeds_limit = |max, demand| max > 0 && demand > max;
+        self.team(name).is_some_and(|team| {
+            exceeds_limit(team.cpus_max, usage.demand_cpus)
+                || exceeds_limit(team.gpus_max, usage.demand_gpus)
         })
     }
 
-    /// Reserves so many CPUs (in thousandths) of a team's limit for its starved classes.
+    /// Reserves CPUs (in thousandths) of a team's limit for its starved classes.
     pub fn reserve_minimum_share(&mut self, team: &'a str, cpus: i64) {
         self.reservations
             .entry(team)
@@ -135,29 +138,32 @@
             .cpus += cpus;
     }
 
-    /// Reserves what a gang needs of its team's limit, also against other gangs if `before_other_gangs`.
-    /// For this gang `released_by_then` does not count as used.
+    /// Reserves the resources of a gang within its team's limit, also against other gangs if
+    /// `blocks_other_gangs`. For this gang, `released_before_start` does not count as used.
     pub fn reserve_for_gang(
         &mut self,
         id: &JobId,
         spec: &'a JobSpec,
-        before_other_gangs: bool,
-        released_by_then: Resources,
+        blocks_other_gangs: bool,
+        released_before_start: Resources,
     ) {
         self.reservations.entry(&spec.team).or_default().gang = Some(GangReservation {
             id: id.clone(),
             resources: spec.resources.for_tasks(i64::from(spec.task_count)),
-            before_other_gangs,
-            released_by_then,
+            blocks_other_gangs,
+            released_before_start,
         });
     }
 
-    /// Lets no further gang of a team start.
+    /// Prevents further gangs of a team from starting.
     pub fn close_gangs(&mut self, team: &'a str) {
-        self.reservations.entry(team).or_default().gangs_closed = true;
+        self.reservations
+            .entry(team)
+            .or_default()
+            .further_gangs_blocked = true;
     }
 
-    /// How many more tasks of a job its team's limit lets start.
+    /// Returns how many more tasks of a job may start within its team's limit.
     pub fn headroom(&self, spec: &JobSpec, verdict: QuotaVerdict<'_>) -> i64 {
         let usage = self.usage(&spec.team);
         let mut used = Resources {
@@ -166,7 +172,7 @@
             memory: 0,
         };
         if let Some(reserved) = self.reservations.get(&*spec.team) {
-            if reserved.gangs_closed && matches!(verdict, QuotaVerdict::Gang(_)) {
+            if reserved.further_gangs_blocked && matches!(verdict, QuotaVerdict::Gang(_)) {
                 return 0;
             }
             if verdict != QuotaVerdict::WithinGuarantee {
@@ -178,9 +184,9 @@
             if let Some(gang) = &reserved.gang {
                 match verdict {
                     QuotaVerdict::Gang(id) if *id == gang.id => {
-                        used.subtract(&gang.released_by_then);
+                        used.subtract(&gang.released_before_start);
                     }
-                    QuotaVerdict::Gang(_) if !gang.before_other_gangs => {}
+                    QuotaVerdict::Gang(_) if !gang.blocks_other_gangs => {}
                     QuotaVerdict::Gang(_) | QuotaVerdict::Ordinary => used.add(&gang.resources),
                     QuotaVerdict::WithinGuarantee | QuotaVerdict::MinimumShare => {}
                 }
@@ -189,7 +195,7 @@
         at_once(self.teams, spec, &used).unwrap_or(i64::MAX)
     }
 
-    /// Counts so many tasks of a job as started, and no longer as reserved.
+    /// Counts tasks of a job as started, and no longer as reserved.
     pub fn start(&mut self, spec: &'a JobSpec, tasks: i64, verdict: QuotaVerdict<'_>) {
         let started = spec.resources.for_tasks(tasks);
         let usage = self.usage.entry(&spec.team).or_default();
@@ -198,13 +204,13 @@
         let Some(reserved) = self.reservations.get_mut(&*spec.team) else {
             return;
         };
-        let fulfil = |reservation: &mut Resources| {
+        let release_reservation = |reservation: &mut Resources| {
             reservation.cpus = (reservation.cpus - started.cpus).max(0);
             reservation.gpus = (reservation.gpus - started.gpus).max(0);
         };
         match verdict {
-            QuotaVerdict::WithinGuarantee => fulfil(&mut reserved.high_priority),
-            QuotaVerdict::MinimumShare => fulfil(&mut reserved.minimum_share),
+            QuotaVerdict::WithinGuarantee => release_reservation(&mut reserved.high_priority),
+            QuotaVerdict::MinimumShare => release_reservation(&mut reserved.minimum_share),
             QuotaVerdict::Gang(id)
                 if tasks > 0 && reserved.gang.as_ref().is_some_and(|gang| gang.id == *id) =>
             {
@@ -215,13 +221,13 @@
     }
 }
 
-/// How many tasks of a job its team may run at once beside what it uses elsewhere; `None` if nothing
-/// limits them.
-pub fn at_once(teams: &[Team], spec: &JobSpec, elsewhere: &Resources) -> Option<i64> {
-    let team = teams.iter().find(|t| t.name == spec.team)?;
+/// Returns how many tasks of a job its team may run at the same time in addition to `other_usage`; `None`
+/// if nothing limits them.
+pub fn at_once(teams: &[Team], spec: &JobSpec, other_usage: &Resources) -> Option<i64> {
+    let team = teams.iter().find(|team| team.name == spec.team)?;
     let amounts = [
-        (team.cpus_max, elsewhere.cpus, spec.resources.cpus),
-        (team.gpus_max, elsewhere.gpus, spec.resources.gpus),
+        (team.cpus_max, other_usage.cpus, spec.resources.cpus),
+        (team.gpus_max, other_usage.gpus, spec.resources.gpus),
     ];
     let limited = amounts
         .iter()
