--- a/src/scheduling/attempt.rs
+++ b/src/scheduling/attempt.rs
@@ -14,7 +14,7 @@
 pub(super) type Assignment = (u32, MachineId, u64);
 
 /// So many tasks of a job at most are placed in one run: the next run follows at once.
-const MAX_TASKS_PER_JOB: usize = 512;
+const MAX_TASKS_PER_ATTEMPT: usize = 512;
 
 /// Equal tasks of one job that are looking for machines.
 pub(super) struct PlacementAttempt<'a> {
@@ -25,7 +25,7 @@
     /// Where the job's tasks are, with those placed here; empty without a zone constraint.
     pub(super) tasks_by_zone: TasksByZone<'a>,
     /// Indexes of the tasks to place.
-    waiting: Vec<u32>,
+    task_indexes: Vec<u32>,
     /// The first of them, with their machines.
     pub(super) assignments: Vec<Assignment>,
 }
@@ -38,27 +38,27 @@
         gpu_demand: GpuDemand,
         tasks_by_zone: TasksByZone<'a>,
     ) -> PlacementAttempt<'a> {
-        let waiting = entry
+        let task_indexes = entry
             .job
             .slots()
             .filter(|(_, state)| matches!(state, TaskState::Waiting(_)))
             .map(|(index, _)| index)
-            .skip(entry.first_waiting)
-            .take((permitted as usize).min(MAX_TASKS_PER_JOB))
+            .skip(entry.waiting_offset)
+            .take((permitted as usize).min(MAX_TASKS_PER_ATTEMPT))
             .collect();
         PlacementAttempt {
             spec: &entry.job.spec,
             owned: entry.owned,
             gpu_demand,
             tasks_by_zone,
-            waiting,
+            task_indexes,
             assignments: Vec::new(),
         }
     }
 
     /// Tasks that this attempt is to place.
-    pub(super) fn requested(&self) -> usize {
-        self.waiting.len()
+    pub(super) fn requested_tasks(&self) -> usize {
+        self.task_indexes.len()
     }
 
     /// The free resources of a machine that these tasks may use.
@@ -131,9 +131,9 @@
     }
 
     fn assign(&mut self, candidates: &mut CandidateMachines<'_>, index: usize) {
-        candidates.take(index, &self.spec.resources);
+        candidates.allocate(index, &self.spec.resources);
         let candidate = &candidates.list[index];
-        let task = self.waiting[self.assignments.len()];
+        let task = self.task_indexes[self.assignments.len()];
         self.assignments
             .push((task, candidate.id.clone(), candidate.session));
     }
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -14,7 +14,7 @@
     /// The most that any task with GPUs takes, by resource.
     largest_task: Resources,
     /// Whether such a task waits; only then is anything kept free.
-    waiting: bool,
+    gpu_task_waiting: bool,
 }
 
 impl GpuDemand {
@@ -30,11 +30,11 @@
             };
         }
         let mut waiting_jobs = view.waiting();
-        let waiting = all_kinds
+        let gpu_task_waiting = all_kinds
             && waiting_jobs.any(|(_, job)| job.spec.resources.gpus > 0 && job.queued() > 0);
         GpuDemand {
             largest_task,
-            waiting,
+            gpu_task_waiting,
         }
     }
 
@@ -45,29 +45,29 @@
         candidate: &CandidateMachine<'_>,
     ) -> Resources {
         let machine_gpus = candidate.capacity.gpus;
-        let others_exist = candidate.gpuless_types_exist;
+        let has_cpu_only_types = candidate.has_cpu_only_types;
         if spec.resources.gpus > 0
             || machine_gpus == 0
-            || !others_exist && self.largest_task.gpus == 0
+            || !has_cpu_only_types && self.largest_task.gpus == 0
         {
             return candidate.free;
         }
-        if others_exist && !spec.backfill() {
+        if has_cpu_only_types && !spec.backfill() {
             return Resources::default();
         }
-        if others_exist && !self.waiting {
+        if has_cpu_only_types && !self.gpu_task_waiting {
             return candidate.free;
         }
         let gpus_per_task = self.largest_task.gpus.max(1);
         let gpu_tasks = (machine_gpus / gpus_per_task).max(1);
         // The resources of GPU tasks that run here are taken already.
-        let kept_for = gpu_tasks - (machine_gpus - candidate.free.gpus) / gpus_per_task;
+        let reserved_tasks = gpu_tasks - (machine_gpus - candidate.free.gpus) / gpus_per_task;
         let mut offered = candidate.free;
-        if kept_for > 0 {
+        if reserved_tasks > 0 {
             offered.subtract(&Resources {
-                cpus: self.largest_task.cpus * kept_for,
+                cpus: self.largest_task.cpus * reserved_tasks,
                 gpus: 0,
-                memory: self.largest_task.memory * kept_for,
+                memory: self.largest_task.memory * reserved_tasks,
             });
         }
         offered
@@ -75,7 +75,7 @@
 }
 
 /// Whether there are machine types without GPUs.
-pub(super) fn gpuless_types_exist(view: &ClusterState) -> bool {
+pub(super) fn has_cpu_only_types(view: &ClusterState) -> bool {
     view.machine_types.values().any(|t| t.gpus == 0.0)
 }
 
@@ -87,7 +87,7 @@
                 .machine_types
                 .get(&machine.machine_type)
                 .is_some_and(|t| t.gpus > 0.0)
-            && gpuless_types_exist(view)
+            && has_cpu_only_types(view)
     })
 }
 
--- a/src/scheduling/bin_packing.rs
+++ b/src/scheduling/bin_packing.rs
@@ -57,12 +57,12 @@
 pub(super) struct CandidateMachines<'a> {
     pub(super) list: Vec<CandidateMachine<'a>>,
     /// Machines of which something was taken, in that order, not repeated where equal to the last.
-    taken_log: Vec<usize>,
+    allocation_log: Vec<usize>,
     /// Rankings that were asked for at least once.
-    requested: HashSet<RankingKey<'a>>,
+    requested_keys: HashSet<RankingKey<'a>>,
     rankings: HashMap<RankingKey<'a>, Ranking>,
     /// By image: machines that have cached it, of those with free CPUs when a ranking was first kept.
-    with_image: Option<HashMap<&'a str, HashSet<usize>>>,
+    machines_by_image: Option<HashMap<&'a str, HashSet<usize>>>,
 }
 
 /// What a ranking is for.
@@ -80,31 +80,31 @@
     order: BTreeSet<RankedMachine>,
     scores: HashMap<usize, Score>,
     /// How much of the log it has applied. Not its last machine, of which more may be taken since.
-    applied: usize,
+    applied_entries: usize,
 }
 
 impl<'a> CandidateMachines<'a> {
     pub(super) fn new(list: Vec<CandidateMachine<'a>>) -> CandidateMachines<'a> {
         CandidateMachines {
             list,
-            taken_log: Vec::new(),
-            requested: HashSet::default(),
+            allocation_log: Vec::new(),
+            requested_keys: HashSet::default(),
             rankings: HashMap::default(),
-            with_image: None,
+            machines_by_image: None,
         }
     }
 
     /// Takes resources of a machine.
-    pub(super) fn take(&mut self, index: usize, resources: &Resources) {
+    pub(super) fn allocate(&mut self, index: usize, resources: &Resources) {
         self.list[index].free.subtract(resources);
-        if self.taken_log.last() != Some(&index) {
-            self.taken_log.push(index);
+        if self.allocation_log.last() != Some(&index) {
+            self.allocation_log.push(index);
         }
     }
 
     /// The best machines for the tasks of an attempt, at most `limit`, best first. Filling the best one
     /// keeps it the best while tasks fit: less free is better, and nothing else in the score gets worse.
-    pub(super) fn best(
+    pub(super) fn best_machines(
         &mut self,
         shape: TaskShape<'a>,
         attempt: &PlacementAttempt<'a>,
@@ -115,8 +115,8 @@
             owned: attempt.owned,
             image: None,
         };
-        if self.requested.insert(any_image) {
-            return self.best_unranked(attempt, limit);
+        if self.requested_keys.insert(any_image) {
+            return self.best_by_full_scan(attempt, limit);
         }
         let cached_image = RankingKey {
             image: Some(&attempt.spec.image),
@@ -130,7 +130,11 @@
 
     /// The best machines by one look at all: most runs have one job of a shape, for which a ranking that
     /// is kept would not pay.
-    fn best_unranked(&self, attempt: &PlacementAttempt<'a>, limit: usize) -> Vec<RankedMachine> {
+    fn best_by_full_scan(
+        &self,
+        attempt: &PlacementAttempt<'a>,
+        limit: usize,
+    ) -> Vec<RankedMachine> {
         let candidates = self.list.iter().enumerate();
         let mut ranked: Vec<RankedMachine> = candidates
             .filter_map(|(index, candidate)| {
@@ -149,7 +153,7 @@
     }
 
     fn index_images(&mut self) {
-        if self.with_image.is_some() {
+        if self.machines_by_image.is_some() {
             return;
         }
         let mut by_image: HashMap<&'a str, HashSet<usize>> = HashMap::default();
@@ -159,7 +163,7 @@
                 by_image.entry(image).or_default().insert(index);
             }
         }
-        self.with_image = Some(by_image);
+        self.machines_by_image = Some(by_image);
     }
 
     /// The first machines of two rankings of one shape. The ranking for any image scores all machines as
@@ -198,7 +202,7 @@
     }
 
     fn machines_with_image(&self, image: Option<&str>) -> Option<&HashSet<usize>> {
-        self.with_image.as_ref()?.get(image?)
+        self.machines_by_image.as_ref()?.get(image?)
     }
 
     /// Makes a ranking, or applies to it what was taken since.
@@ -208,19 +212,19 @@
             self.rankings.insert(key, ranking);
             return;
         }
-        let with_image = self.with_image.as_ref();
-        let has_image = key.image.and_then(|image| with_image?.get(image));
+        let machines_by_image = self.machines_by_image.as_ref();
+        let has_image = key.image.and_then(|image| machines_by_image?.get(image));
         let Some(ranking) = self.rankings.get_mut(&key) else {
             return;
         };
-        for index in &self.taken_log[ranking.applied..] {
+        for index in &self.allocation_log[ranking.applied_entries..] {
             if key.image.is_some() && !has_image.is_some_and(|set| set.contains(index)) {
                 continue;
             }
             let score = attempt.score(&self.list[*index], key.image.is_some());
             ranking.set_score(*index, score);
         }
-        ranking.applied = self.taken_log.len().saturating_sub(1);
+        ranking.applied_entries = self.allocation_log.len().saturating_sub(1);
     }
 
     fn new_ranking(&self, key: &RankingKey<'a>, attempt: &PlacementAttempt<'a>) -> Ranking {
@@ -238,7 +242,7 @@
         Ranking {
             scores: machines.iter().map(|m| (m.index, m.score)).collect(),
             order: machines.into_iter().collect(),
-            applied: self.taken_log.len().saturating_sub(1),
+            applied_entries: self.allocation_log.len().saturating_sub(1),
         }
     }
 }
@@ -257,42 +261,42 @@
 }
 
 /// Added where a task without GPUs would use a machine with GPUs.
-const PENALTY_GPU_MACHINE: i64 = 4;
+const GPU_MACHINE_PENALTY: i64 = 4;
 /// Added while a machine still boots.
-const PENALTY_BOOTING: i64 = 8;
+const BOOTING_PENALTY: i64 = 8;
 /// Added where the image has to be fetched first.
-const PENALTY_IMAGE_FETCH: i64 = 2;
+const IMAGE_FETCH_PENALTY: i64 = 2;
 /// Added for an ordinary machine where a spot machine would do.
-const PENALTY_NOT_SPOT: i64 = 1;
+const ON_DEMAND_PENALTY: i64 = 1;
 /// Added for a service on another owner's machine.
-const PENALTY_OTHER_OWNER: i64 = 1;
+const OTHER_OWNER_PENALTY: i64 = 1;
 /// Added where an array's small task would break into an empty machine: small tasks are drawn together, so
 /// that whole machines stay for those that need one, and empty ones can be released.
-const PENALTY_EMPTY_MACHINE: i64 = 3;
+const EMPTY_MACHINE_PENALTY: i64 = 3;
 
 /// Scores a machine for a job's tasks, as if it had the image cached or not.
 pub(super) fn score(spec: &JobSpec, candidate: &CandidateMachine<'_>, image_cached: bool) -> Score {
     let mut penalty = 0;
     if candidate.capacity.gpus > 0 && spec.resources.gpus == 0 {
-        penalty += PENALTY_GPU_MACHINE;
+        penalty += GPU_MACHINE_PENALTY;
     }
     if candidate.booting {
-        penalty += PENALTY_BOOTING;
+        penalty += BOOTING_PENALTY;
     }
     if !image_cached {
-        penalty += PENALTY_IMAGE_FETCH;
+        penalty += IMAGE_FETCH_PENALTY;
     }
     if spec.allow_spot && !candidate.machine.spot {
-        penalty += PENALTY_NOT_SPOT;
+        penalty += ON_DEMAND_PENALTY;
     }
     if spec.kind == JobKind::Service && !candidate.owned {
-        penalty += PENALTY_OTHER_OWNER;
+        penalty += OTHER_OWNER_PENALTY;
     }
     if spec.kind == JobKind::Array
         && candidate.free == candidate.capacity
         && candidate.capacity.count_fitting(&spec.resources) > 1
     {
-        penalty += PENALTY_EMPTY_MACHINE;
+        penalty += EMPTY_MACHINE_PENALTY;
     }
     Score {
         penalty,
--- a/src/scheduling/gang.rs
+++ b/src/scheduling/gang.rs
@@ -5,7 +5,7 @@
 use super::backfill::{BackfillTasks, GpuDemand};
 use super::bin_packing::{CandidateMachines, Score, score};
 use super::machines::{machine_allowed, may_use_spot};
-use super::zones::{TasksByZone, most_per_zone};
+use super::zones::{TasksByZone, max_tasks_per_zone};
 use crate::jobs::commit::JobChange;
 use crate::jobs::model::{JobSpec, Resources};
 use crate::store::cluster_state::{ClusterState, Job};
@@ -13,12 +13,12 @@
 use foldhash::{HashMap, HashMapExt};
 
 /// A gang that has waited this long keeps free machines from younger ones.
-pub(super) const GANG_RESERVATION_AGE: Micros = 40 * SECOND;
+pub(super) const GANG_RESERVATION_DELAY: Micros = 40 * SECOND;
 
 /// Added where a machine fits once backfill tasks that are stopping already have left.
-const PENALTY_WAIT_FOR_BACKFILL: i64 = 16;
+const WAIT_FOR_BACKFILL_PENALTY: i64 = 16;
 /// Added to that where some would have to be stopped first.
-const PENALTY_STOP_BACKFILL: i64 = 16;
+const STOP_BACKFILL_PENALTY: i64 = 16;
 
 /// A machine for tasks of a gang.
 struct GangMachine {
@@ -55,7 +55,7 @@
     let mut free_now = true;
     for index in &chosen {
         free_now &= candidates.list[*index].free.fits(&spec.resources);
-        candidates.take(*index, &spec.resources);
+        candidates.allocate(*index, &spec.resources);
     }
     if free_now || forecast {
         let assignments = chosen.iter().enumerate().map(|(task, index)| {
@@ -74,14 +74,14 @@
 }
 
 /// Takes the machines on which one task of a gang fits now, so that no younger gang gets them.
-pub(super) fn hold_free_machines(spec: &JobSpec, candidates: &mut CandidateMachines<'_>) {
+pub(super) fn reserve_free_machines(spec: &JobSpec, candidates: &mut CandidateMachines<'_>) {
     for index in 0..candidates.list.len() {
         let candidate = &candidates.list[index];
         if spec.resources.gpus > 0
             && machine_allowed(spec, candidate.machine)
             && candidate.free.fits(&spec.resources)
         {
-            candidates.take(index, &spec.resources);
+            candidates.allocate(index, &spec.resources);
         }
     }
 }
@@ -105,7 +105,7 @@
         if !resources.fits(&spec.resources) {
             if spec.resources.gpus == 0
                 || candidate.free.gpus < spec.resources.gpus
-                || !candidate.gpuless_types_exist
+                || !candidate.has_cpu_only_types
             {
                 continue;
             }
@@ -117,9 +117,9 @@
             if !resources.fits(&spec.resources) {
                 continue;
             }
-            penalty = PENALTY_WAIT_FOR_BACKFILL;
+            penalty = WAIT_FOR_BACKFILL_PENALTY;
             if !backfill.stops.is_empty() {
-                penalty += PENALTY_STOP_BACKFILL;
+                penalty += STOP_BACKFILL_PENALTY;
             }
         }
         let mut score = score(spec, candidate, candidate.has_image(spec));
@@ -142,7 +142,7 @@
     machines: &[GangMachine],
 ) -> Option<Vec<usize>> {
     if !spec.single_zone {
-        return choose_in(spec, candidates, machines, None);
+        return choose_machines_in_zone(spec, candidates, machines, None);
     }
     let zone_of = |machine: &GangMachine| candidates.list[machine.index].machine.zone.as_str();
     let mut zones: Vec<&str> = machines.iter().map(zone_of).collect();
@@ -150,11 +150,11 @@
     zones.dedup();
     zones
         .into_iter()
-        .find_map(|zone| choose_in(spec, candidates, machines, Some(zone)))
+        .find_map(|zone| choose_machines_in_zone(spec, candidates, machines, Some(zone)))
 }
 
 /// The same within one zone, or in any.
-fn choose_in(
+fn choose_machines_in_zone(
     spec: &JobSpec,
     candidates: &CandidateMachines<'_>,
     machines: &[GangMachine],
@@ -173,7 +173,7 @@
                 break;
             }
             let in_zone = tasks_by_zone.entry(zone).or_default();
-            if spec.zone_spread && *in_zone >= most_per_zone(spec) {
+            if spec.zone_spread && *in_zone >= max_tasks_per_zone(spec) {
                 break;
             }
             *in_zone += 1;
--- a/src/scheduling/gang_reservation.rs
+++ b/src/scheduling/gang_reservation.rs
@@ -2,7 +2,7 @@
 //! small tasks take whatever is released. Writes only to the run's quota ledger.
 
 use super::SchedulingInput;
-use super::gang::GANG_RESERVATION_AGE;
+use super::gang::GANG_RESERVATION_DELAY;
 use super::machines::machine_allowed;
 use crate::autoscaler::model::{MachineRecord, MachineState};
 use crate::fairness::minimum_share;
@@ -32,7 +32,7 @@
     }
 
     /// By age over CPUs, compared without a division: small gangs go first, and large ones with age.
-    fn goes_before(&self, other: &WaitingGang<'_>) -> bool {
+    fn precedes(&self, other: &WaitingGang<'_>) -> bool {
         let weight = u128::from(self.age) * other.cpus();
         let other_weight = u128::from(other.age) * self.cpus();
         (weight, other.id) > (other_weight, self.id)
@@ -55,8 +55,8 @@
             }
         } else if input.forecast {
             quotas.reserve_for_gang(gang.id, spec, true, running.arrays);
-        } else if machines_suffice(input, spec) {
-            let waited_long = gang.age > GANG_RESERVATION_AGE;
+        } else if has_enough_machines(input, spec) {
+            let waited_long = gang.age > GANG_RESERVATION_DELAY;
             quotas.reserve_for_gang(gang.id, spec, waited_long, Resources::default());
         }
     }
@@ -77,7 +77,7 @@
         {
             let gang = WaitingGang { age, id, job };
             let first = next.entry(&job.spec.team).or_insert(gang);
-            if gang.goes_before(first) {
+            if gang.precedes(first) {
                 *first = gang;
             }
         }
@@ -106,7 +106,7 @@
 }
 
 /// Whether all tasks of a gang would fit onto the machines that are up, or soon will be.
-fn machines_suffice(input: &SchedulingInput<'_>, spec: &JobSpec) -> bool {
+fn has_enough_machines(input: &SchedulingInput<'_>, spec: &JobSpec) -> bool {
     let view = input.view;
     let needed = i64::from(spec.task_count);
     let mut fitting = 0;
--- a/src/scheduling/machines.rs
+++ b/src/scheduling/machines.rs
@@ -14,10 +14,10 @@
 
 /// Where more than one machine in so many has free resources, all are looked through in a row: that is
 /// cheaper than one look-up each.
-const SCAN_RATIO: usize = 4;
+const FULL_SCAN_RATIO: usize = 4;
 
 /// Attempts that a gang may lose before it avoids spot machines.
-const MAX_ATTEMPTS_ON_SPOT: u32 = 2;
+const MAX_GANG_SPOT_ATTEMPTS: u32 = 2;
 
 /// A machine that may be given tasks.
 pub(super) struct CandidateMachine<'a> {
@@ -37,7 +37,7 @@
     pub(super) preemptible: Option<PreemptibleTasks>,
     /// Found when first asked for.
     pub(super) backfill: Option<BackfillTasks>,
-    pub(super) gpuless_types_exist: bool,
+    pub(super) has_cpu_only_types: bool,
 }
 
 impl CandidateMachine<'_> {
@@ -65,20 +65,20 @@
     job.spec.allow_spot
         && (job.spec.kind != JobKind::Gang
             || job.spec.task_count == 1
-            || lost_attempts() < MAX_ATTEMPTS_ON_SPOT)
+            || lost_attempts() < MAX_GANG_SPOT_ATTEMPTS)
 }
 
 /// Makes candidates of machines.
 pub(super) struct CandidateSource<'i, 'a> {
     input: &'i SchedulingInput<'a>,
     capacities: HashMap<&'a str, Resources>,
-    gpuless_types_exist: bool,
+    has_cpu_only_types: bool,
 }
 
 impl<'i, 'a> CandidateSource<'i, 'a> {
     pub(super) fn new(
         input: &'i SchedulingInput<'a>,
-        gpuless_types_exist: bool,
+        has_cpu_only_types: bool,
     ) -> CandidateSource<'i, 'a> {
         let types = input.view.machine_types.iter();
         CandidateSource {
@@ -86,7 +86,7 @@
             capacities: types
                 .map(|(name, t)| (name.as_str(), Resources::of_machine(t)))
                 .collect(),
-            gpuless_types_exist,
+            has_cpu_only_types,
         }
     }
 
@@ -114,7 +114,7 @@
             images: view.images.get(id),
             preemptible: None,
             backfill: None,
-            gpuless_types_exist: self.gpuless_types_exist,
+            has_cpu_only_types: self.has_cpu_only_types,
         })
     }
 
@@ -132,15 +132,15 @@
         queue: &[QueueEntry<'_>],
     ) -> Vec<CandidateMachine<'a>> {
         let machines = &self.input.view.machines;
-        let least_cpus = queue
+        let min_cpus = queue
             .iter()
             .map(|entry| entry.job.spec.resources.cpus)
             .min()
             .unwrap_or(0);
-        let ids = machines_with_free_cpus(self.input, least_cpus);
-        if ids.len() * SCAN_RATIO > machines.len() {
+        let ids = machines_with_free_cpus(self.input, min_cpus);
+        if ids.len() * FULL_SCAN_RATIO > machines.len() {
             let candidates = machines.iter().filter_map(|(id, m)| self.candidate(id, m));
-            candidates.filter(|c| c.free.cpus >= least_cpus).collect()
+            candidates.filter(|c| c.free.cpus >= min_cpus).collect()
         } else {
             let found = ids.into_iter();
             found
@@ -151,23 +151,27 @@
 
     /// Adds the schedulable machines that are not in a list yet.
     pub(super) fn add_missing(&self, list: &mut Vec<CandidateMachine<'a>>) {
-        let known: HashSet<&MachineId> = list.iter().map(|candidate| candidate.id).collect();
+        let listed: HashSet<&MachineId> = list.iter().map(|candidate| candidate.id).collect();
         let machines = self.input.view.machines.iter();
-        let others = machines.filter(|(id, _)| !known.contains(id));
+        let others = machines.filter(|(id, _)| !listed.contains(id));
         list.extend(others.filter_map(|(id, machine)| self.candidate(id, machine)));
     }
 }
 
 /// Machines on which so many CPUs (in thousandths) may be free, in order of their ids.
-fn machines_with_free_cpus<'a>(input: &SchedulingInput<'a>, least_cpus: i64) -> Vec<&'a MachineId> {
+fn machines_with_free_cpus<'a>(input: &SchedulingInput<'a>, min_cpus: i64) -> Vec<&'a MachineId> {
     let index = input.view.indexes();
-    let from = (least_cpus, MachineId::from(""));
-    let mut ids: Vec<&MachineId> = index.by_free_cpus.range(from..).map(|x| &x.1).collect();
-    let not_listed = |id: &MachineId| {
+    let from = (min_cpus, MachineId::from(""));
+    let mut ids: Vec<&MachineId> = index
+        .by_free_cpus
+        .range(from..)
+        .map(|entry| &entry.1)
+        .collect();
+    let below_min_cpus = |id: &MachineId| {
         let free_cpus = input.view.free_cpus(id);
-        free_cpus.is_some_and(|cpus| cpus < least_cpus)
+        free_cpus.is_some_and(|cpus| cpus < min_cpus)
     };
-    ids.extend(input.freed.keys().filter(|id| not_listed(id)));
+    ids.extend(input.freed.keys().filter(|id| below_min_cpus(id)));
     ids.sort_unstable();
     ids
 }
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -45,7 +45,7 @@
         gang_reservation::reserve_for_gangs(input, &mut quotas);
     }
     if input.place_arrays {
-        starvation::protect_starved(input, &mut quotas, &mut queue);
+        starvation::protect_starved_classes(input, &mut quotas, &mut queue);
     }
     queue::sort(&mut queue);
     if queue.is_empty() && !input.forecast {
--- a/src/scheduling/pending_reason.rs
+++ b/src/scheduling/pending_reason.rs
@@ -46,8 +46,11 @@
         return None;
     }
     let limited = schedule.limited(id);
-    let missing = schedule.unplaced.iter().filter(|(x, _)| x == id);
-    let missing: u32 = missing.map(|(_, n)| n).sum();
+    let unplaced = schedule
+        .unplaced
+        .iter()
+        .filter(|(unplaced_id, _)| unplaced_id == id);
+    let unplaced: u32 = unplaced.map(|(_, tasks)| tasks).sum();
     Some(if !job.ready {
         (PendingReason::Dependency, job.waiting)
     } else if job.waiting == 0 {
@@ -58,8 +61,8 @@
         (PendingReason::Backoff, job.waiting)
     } else if limited > 0 {
         (PendingReason::TeamLimit, limited)
-    } else if missing > 0 {
-        (PendingReason::NoCapacity, missing)
+    } else if unplaced > 0 {
+        (PendingReason::NoCapacity, unplaced)
     } else {
         (PendingReason::QueueOrder, job.waiting)
     })
@@ -69,15 +72,15 @@
 pub type Reason = Option<(PendingReason, u32)>;
 
 /// By team and reason: how many jobs and tasks wait, and how long the oldest has, in seconds.
-pub type Counts<'a> = BTreeMap<&'a str, BTreeMap<PendingReason, (u32, u64, f64)>>;
+pub type PendingCounts<'a> = BTreeMap<&'a str, BTreeMap<PendingReason, (u32, u64, f64)>>;
 
 /// Counts pending jobs and tasks by team and reason.
 pub fn count<'a>(
     view: &'a ClusterState,
     wall_clock: u64,
     reason_of: &dyn Fn(&JobId, &Job) -> Reason,
-) -> Counts<'a> {
-    let mut counts = Counts::new();
+) -> PendingCounts<'a> {
+    let mut counts = PendingCounts::new();
     for (id, job) in &view.jobs {
         let Some((reason, tasks)) = reason_of(id, job) else {
             continue;
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -12,7 +12,7 @@
 
 /// A job's own owner preempts for it at once; others only after this long, in case the owner has nothing
 /// to preempt.
-pub(super) const PREEMPTION_DELAY_FOR_OTHERS: Micros = 5 * SECOND;
+pub(super) const NON_OWNER_PREEMPTION_DELAY: Micros = 5 * SECOND;
 
 /// Which machines count for preemption.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -55,20 +55,20 @@
             let Some(job) = view.jobs.get(id) else {
                 continue;
             };
-            let lower = &job.spec;
+            let task_spec = &job.spec;
             if placement.stop.is_some() || job.cancelled() {
-                found.stopping.add(&lower.resources);
-            } else if lower.priority > spec.priority
-                && lower.priority >= Priority::Normal
-                && lower.kind == JobKind::Array
+                found.stopping.add(&task_spec.resources);
+            } else if task_spec.priority > spec.priority
+                && task_spec.priority >= Priority::Normal
+                && task_spec.kind == JobKind::Array
             {
-                found.total.add(&lower.resources);
+                found.total.add(&task_spec.resources);
                 found.tasks.push(PreemptibleTask {
-                    cost: preemption_cost(lower),
+                    cost: preemption_cost(task_spec),
                     job: id.clone(),
                     index: *index,
                     attempt: placement.attempt,
-                    resources: lower.resources,
+                    resources: task_spec.resources,
                 });
             }
         }
@@ -85,7 +85,7 @@
 /// Where one more task could go.
 enum PreemptionOption {
     /// It fits once tasks that are stopping already have left.
-    FitsSoon,
+    FitsAfterStops,
     /// It fits once the first so many preemptible tasks are stopped.
     Stop { cost: i64, tasks: usize },
     /// It never fits.
@@ -108,12 +108,12 @@
             continue;
         }
         match preemption_option(view, attempt, candidate) {
-            PreemptionOption::FitsSoon => {
-                candidates.take(index, &spec.resources);
+            PreemptionOption::FitsAfterStops => {
+                candidates.allocate(index, &spec.resources);
                 return true;
             }
             PreemptionOption::Stop { cost, tasks }
-                if cheapest.is_none_or(|(least, _, _)| cost < least) =>
+                if cheapest.is_none_or(|(lowest, _, _)| cost < lowest) =>
             {
                 cheapest = Some((cost, index, tasks));
             }
@@ -124,7 +124,7 @@
         return false;
     };
     stop_tasks(&mut candidates.list[index], tasks, changes);
-    candidates.take(index, &spec.resources);
+    candidates.allocate(index, &spec.resources);
     true
 }
 
@@ -155,11 +155,11 @@
     };
     available.add(&preemptible.stopping);
     if available.fits(&spec.resources) {
-        return PreemptionOption::FitsSoon;
+        return PreemptionOption::FitsAfterStops;
     }
-    let mut most = available;
-    most.add(&preemptible.total);
-    if !most.fits(&spec.resources) {
+    let mut maximum = available;
+    maximum.add(&preemptible.total);
+    if !maximum.fits(&spec.resources) {
         return PreemptionOption::None;
     }
     let (mut cost, mut tasks) = (0, 0);
--- a/src/scheduling/queue.rs
+++ b/src/scheduling/queue.rs
@@ -2,7 +2,7 @@
 //! several entries where some of its tasks go before the others (boosts, minimum share, first start).
 
 use super::SchedulingInput;
-use super::preemption::PREEMPTION_DELAY_FOR_OTHERS;
+use super::preemption::NON_OWNER_PREEMPTION_DELAY;
 use crate::fairness::PriorityBoost;
 use crate::fairness::service_levels;
 use crate::jobs::model::JobId;
@@ -24,7 +24,7 @@
     /// No objective of its class can be met any more.
     objective_missed: bool,
     /// Work that waits, or the latest start of a pipeline step.
-    order: u64,
+    sort_key: u64,
 }
 
 /// Some waiting tasks of a job.
@@ -33,9 +33,9 @@
     pub(super) id: &'a JobId,
     pub(super) job: &'a Job,
     /// Size of the priority boost; 0 for none.
-    pub(super) boost: u32,
+    pub(super) boost_level: u32,
     /// Waiting tasks of the job that earlier entries stand for.
-    pub(super) first_waiting: usize,
+    pub(super) waiting_offset: usize,
     /// Number of tasks.
     pub(super) count: usize,
     /// All of its team's unfinished jobs fit into the team's guarantee.
@@ -62,7 +62,7 @@
     }
 
     /// An array that is no step of a pipeline with a deadline: written after all others.
-    pub(super) fn is_plain_array(&self) -> bool {
+    pub(super) fn is_array_without_deadline(&self) -> bool {
         self.job.spec.kind == JobKind::Array && !self.job.is_deadline_step()
     }
 
@@ -77,7 +77,7 @@
                     .cmp(&other.position.objective_missed),
             )
             .then(other.owned.cmp(&self.owned))
-            .then((other.boost > 0).cmp(&(self.boost > 0)))
+            .then((other.boost_level > 0).cmp(&(self.boost_level > 0)))
             .then(self.position.cmp(&other.position))
             .then(self.job.waiting_since.cmp(&other.job.waiting_since))
             .then(self.id.cmp(other.id))
@@ -152,32 +152,32 @@
     let boosts = &input.view.priority_boosts.jobs;
     let PriorityBoost {
         tasks: boosted_tasks,
-        level: boost,
+        level: boost_level,
     } = boosts.get(&**id).copied().unwrap_or_default();
     let boosted = match gang && boosted_tasks > 0 {
         true => waiting,
         false => (boosted_tasks as usize).min(waiting),
     };
     let first_starts = usize::from(should_make_first_start(input, job, owned));
-    let ordinary_from = boosted.max(first_starts);
-    for (first_waiting, count, boost) in [
-        (0, first_starts, boost),
-        (first_starts, ordinary_from - first_starts, boost),
-        (ordinary_from, waiting - ordinary_from, 0),
+    let unboosted_from = boosted.max(first_starts);
+    for (waiting_offset, count, boost_level) in [
+        (0, first_starts, boost_level),
+        (first_starts, unboosted_from - first_starts, boost_level),
+        (unboosted_from, waiting - unboosted_from, 0),
     ] {
         if count > 0 {
             queue.push(QueueEntry {
                 id,
                 job,
-                boost,
-                first_waiting,
+                boost_level,
+                waiting_offset,
                 count,
                 entitled,
                 owned,
                 priority,
                 position,
                 minimum_share: false,
-                first_start: count == first_starts && first_waiting == 0,
+                first_start: count == first_starts && waiting_offset == 0,
             });
         }
     }
@@ -189,10 +189,10 @@
 /// them and go by slack, least first. Once no objective of the pipeline can be met any more, each step
 /// is a job of its own class again.
 fn priority_and_position(input: &SchedulingInput<'_>, job: &Job) -> (Priority, QueuePosition) {
-    if let Some(order) = latest_start_in_pipeline(input, job) {
+    if let Some(sort_key) = latest_start_in_pipeline(input, job) {
         let position = QueuePosition {
             objective_missed: false,
-            order,
+            sort_key,
         };
         return (job.priority, position);
     }
@@ -216,7 +216,7 @@
         * spec.resources.cpus.max(1) as u64;
     let position = QueuePosition {
         objective_missed,
-        order: if objective_missed { 0 } else { work },
+        sort_key: if objective_missed { 0 } else { work },
     };
     (spec.priority, position)
 }
@@ -246,7 +246,7 @@
     let age = input.wall_clock.saturating_sub(job.waiting_since);
     let delay = match owned {
         true => FIRST_START_DELAY,
-        false => FIRST_START_DELAY + PREEMPTION_DELAY_FOR_OTHERS,
+        false => FIRST_START_DELAY + NON_OWNER_PREEMPTION_DELAY,
     };
     let array = job.spec.kind == JobKind::Array && !job.in_pipeline;
     array && !input.forecast && age >= delay && !service_levels::started(job)
--- a/src/scheduling/scheduler.rs
+++ b/src/scheduling/scheduler.rs
@@ -2,11 +2,11 @@
 //! state of the run, which ends with it.
 
 use super::attempt::{Assignment, PlacementAttempt};
-use super::backfill::{GpuDemand, gpuless_types_exist};
+use super::backfill::{GpuDemand, has_cpu_only_types};
 use super::bin_packing::{CandidateMachines, TaskShape};
-use super::gang::{self, GANG_RESERVATION_AGE, GangPlacement};
+use super::gang::{self, GANG_RESERVATION_DELAY, GangPlacement};
 use super::machines::CandidateSource;
-use super::preemption::{ImageRequirement, PREEMPTION_DELAY_FOR_OTHERS, preempt_for_one_task};
+use super::preemption::{ImageRequirement, NON_OWNER_PREEMPTION_DELAY, preempt_for_one_task};
 use super::queue::QueueEntry;
 use super::zones::{TasksByZone, has_zone_constraint, tasks_by_zone};
 use super::{Schedule, SchedulingInput};
@@ -26,7 +26,7 @@
     /// All schedulable machines are candidates, not only those with free resources.
     all_machines_listed: bool,
     /// The oldest gang without machines holds the free ones.
-    machines_held_for_gang: bool,
+    machines_reserved_for_gang: bool,
     /// Task shapes for which no machine has free resources: these only become less.
     shapes_without_machine: HashSet<TaskShape<'a>>,
     /// Shapes and priorities that find nothing to preempt.
@@ -35,10 +35,10 @@
     /// have several entries, and its constraint is for all of them together.
     tasks_by_zone: HashMap<&'a JobId, TasksByZone<'a>>,
     /// Jobs with something to write that are no plain arrays.
-    first_writes: usize,
+    prioritized_writes: usize,
     /// Plain arrays with something to write: written after all others, so that they never use up writes
     /// that those could have.
-    array_writes: usize,
+    deferred_writes: usize,
     schedule: Schedule,
 }
 
@@ -46,7 +46,7 @@
 struct EntryOutcome {
     assignments: Vec<Assignment>,
     /// Tasks without a machine.
-    missing: u32,
+    unplaced: u32,
 }
 
 /// Whether to go on with the queue.
@@ -74,7 +74,7 @@
             || queue
                 .iter()
                 .any(|entry| entry.job.spec.kind == JobKind::Gang);
-        let machines = CandidateSource::new(input, gpuless_types_exist(input.view));
+        let machines = CandidateSource::new(input, has_cpu_only_types(input.view));
         let candidates = match all_machines_listed {
             true => machines.all(),
             false => machines.with_free_resources(queue),
@@ -86,12 +86,12 @@
             machines,
             candidates: CandidateMachines::new(candidates),
             all_machines_listed,
-            machines_held_for_gang: false,
+            machines_reserved_for_gang: false,
             shapes_without_machine: HashSet::new(),
             preemption_exhausted: HashSet::new(),
             tasks_by_zone: HashMap::new(),
-            first_writes: 0,
-            array_writes: 0,
+            prioritized_writes: 0,
+            deferred_writes: 0,
             schedule,
         }
     }
@@ -119,8 +119,10 @@
 
     fn write_budget(&self, entry: &QueueEntry<'a>) -> WriteBudget {
         match &self.input.write_limit {
-            Some(limit) if self.first_writes >= limit.jobs => WriteBudget::Exhausted,
-            Some(limit) if entry.is_plain_array() && self.array_writes >= limit.jobs => {
+            Some(limit) if self.prioritized_writes >= limit.jobs => WriteBudget::Exhausted,
+            Some(limit)
+                if entry.is_array_without_deadline() && self.deferred_writes >= limit.jobs =>
+            {
                 WriteBudget::GroupExhausted
             }
             _ => WriteBudget::Available,
@@ -144,7 +146,7 @@
         } else {
             Some(EntryOutcome {
                 assignments: Vec::new(),
-                missing: 0,
+                unplaced: 0,
             })
         };
         if let Some(outcome) = outcome {
@@ -176,61 +178,61 @@
             GangPlacement::Placed(assignments) if !assignments.is_empty() => {
                 return Some(EntryOutcome {
                     assignments,
-                    missing: 0,
+                    unplaced: 0,
                 });
             }
             GangPlacement::WaitsForBackfill(mut stops) => self.schedule.changes.append(&mut stops),
             _ => {}
         }
         let age = input.wall_clock.saturating_sub(job.waiting_since);
-        if !self.machines_held_for_gang && age > GANG_RESERVATION_AGE {
-            self.machines_held_for_gang = true;
-            gang::hold_free_machines(spec, &mut self.candidates);
+        if !self.machines_reserved_for_gang && age > GANG_RESERVATION_DELAY {
+            self.machines_reserved_for_gang = true;
+            gang::reserve_free_machines(spec, &mut self.candidates);
         }
         Some(EntryOutcome {
             assignments: Vec::new(),
-            missing: spec.task_count,
+            unplaced: spec.task_count,
         })
     }
 
     /// Places tasks of an array or a service, and preempts for those without a machine if they may.
     fn place_tasks(&mut self, entry: &QueueEntry<'a>, permitted: u32) -> EntryOutcome {
         let shape = TaskShape::of(&entry.job.spec);
-        let zoned = has_zone_constraint(&entry.job.spec);
+        let zone_constrained = has_zone_constraint(&entry.job.spec);
         let may_preempt = self.may_preempt(entry);
-        if self.is_hopeless(entry, shape, may_preempt) {
+        if self.cannot_be_placed(entry, shape, may_preempt) {
             return EntryOutcome {
                 assignments: Vec::new(),
-                missing: permitted,
+                unplaced: permitted,
             };
         }
-        let in_zones = self.tasks_by_zone.remove(entry.id);
-        let in_zones = in_zones.unwrap_or_else(|| tasks_by_zone(self.input.view, entry.job));
-        let mut attempt = PlacementAttempt::new(entry, permitted, self.gpu_demand, in_zones);
-        let requested = attempt.requested();
+        let zone_counts = self.tasks_by_zone.remove(entry.id);
+        let zone_counts = zone_counts.unwrap_or_else(|| tasks_by_zone(self.input.view, entry.job));
+        let mut attempt = PlacementAttempt::new(entry, permitted, self.gpu_demand, zone_counts);
+        let requested = attempt.requested_tasks();
         let mut remaining = requested;
-        if zoned {
+        if zone_constrained {
             while remaining > 0 && attempt.place_one(&mut self.candidates) {
                 remaining -= 1;
             }
         } else {
-            remaining = self.pack(&mut attempt, shape, may_preempt);
+            remaining = self.place_on_best_machines(&mut attempt, shape, may_preempt);
         }
-        let missing = remaining as u32 + permitted - requested as u32;
+        let unplaced = remaining as u32 + permitted - requested as u32;
         if may_preempt && remaining > 0 {
-            self.list_all_machines();
-            let unmet = self.preempt(&attempt, ImageRequirement::Any, remaining);
-            if unmet > 0 && !zoned {
+            self.add_all_machines();
+            let unmet = self.preempt_for_tasks(&attempt, ImageRequirement::Any, remaining);
+            if unmet > 0 && !zone_constrained {
                 self.preemption_exhausted
                     .insert((shape, attempt.spec.priority));
             }
         }
-        if zoned {
+        if zone_constrained {
             self.tasks_by_zone.insert(entry.id, attempt.tasks_by_zone);
         }
         EntryOutcome {
             assignments: attempt.assignments,
-            missing,
+            unplaced,
         }
     }
 
@@ -241,13 +243,18 @@
             .wall_clock
             .saturating_sub(entry.job.waiting_since);
         !self.input.forecast
-            && (entry.owned || age > PREEMPTION_DELAY_FOR_OTHERS)
+            && (entry.owned || age > NON_OWNER_PREEMPTION_DELAY)
             && (entry.job.spec.priority <= Priority::High || entry.entitled)
     }
 
     /// Whether it is known that nothing is free for these tasks and nothing can be preempted. An owned
     /// service may also go to machines of other owners, which those before it could not.
-    fn is_hopeless(&self, entry: &QueueEntry<'a>, shape: TaskShape<'a>, may_preempt: bool) -> bool {
+    fn cannot_be_placed(
+        &self,
+        entry: &QueueEntry<'a>,
+        shape: TaskShape<'a>,
+        may_preempt: bool,
+    ) -> bool {
         let spec = &entry.job.spec;
         !has_zone_constraint(spec)
             && self.shapes_without_machine.contains(&shape)
@@ -258,15 +265,15 @@
     /// Places tasks without a zone constraint on the best machines and returns how many remain. A service
     /// starts sooner where others are preempted on a machine that has its image than where the image has
     /// to be fetched first.
-    fn pack(
+    fn place_on_best_machines(
         &mut self,
         attempt: &mut PlacementAttempt<'a>,
         shape: TaskShape<'a>,
         may_preempt: bool,
     ) -> usize {
         let spec = attempt.spec;
-        let mut remaining = attempt.requested();
-        let order = self.candidates.best(shape, attempt, remaining);
+        let mut remaining = attempt.requested_tasks();
+        let order = self.candidates.best_machines(shape, attempt, remaining);
         if order.is_empty() {
             self.shapes_without_machine.insert(shape);
         }
@@ -280,14 +287,14 @@
         let (cached, uncached) = order.split_at(uncached_from);
         remaining -= attempt.fill(&mut self.candidates, cached, remaining);
         if remaining > 0 {
-            self.list_all_machines();
-            remaining = self.preempt(attempt, ImageRequirement::Cached, remaining);
+            self.add_all_machines();
+            remaining = self.preempt_for_tasks(attempt, ImageRequirement::Cached, remaining);
         }
         remaining - attempt.fill(&mut self.candidates, uncached, remaining)
     }
 
     /// Preempts for up to `count` tasks, one after another, and returns for how many it could not.
-    fn preempt(
+    fn preempt_for_tasks(
         &mut self,
         attempt: &PlacementAttempt<'a>,
         image: ImageRequirement,
@@ -309,7 +316,7 @@
     }
 
     /// Adds the machines without free resources: they count only for preemption.
-    fn list_all_machines(&mut self) {
+    fn add_all_machines(&mut self) {
         if !std::mem::replace(&mut self.all_machines_listed, true) {
             self.machines.add_missing(&mut self.candidates.list);
         }
@@ -318,11 +325,11 @@
     fn record(&mut self, entry: &QueueEntry<'a>, outcome: EntryOutcome) {
         let EntryOutcome {
             assignments,
-            missing,
+            unplaced,
         } = outcome;
         let input = self.input;
         // In the forecast tasks without a machine will have one: the quota is for all of them together.
-        let expected = if input.forecast { missing } else { 0 };
+        let expected = if input.forecast { unplaced } else { 0 };
         let started = assignments.len() as i64 + i64::from(expected);
         self.quotas
             .start(&entry.job.spec, started, entry.quota_verdict());
@@ -331,9 +338,9 @@
                 .write_limit
                 .is_some_and(|limit| !(limit.busy)(entry.id))
             {
-                match entry.is_plain_array() {
-                    true => self.array_writes += 1,
-                    false => self.first_writes += 1,
+                match entry.is_array_without_deadline() {
+                    true => self.deferred_writes += 1,
+                    false => self.prioritized_writes += 1,
                 }
             }
             self.schedule.changes.push(JobChange::Place {
@@ -341,11 +348,11 @@
                 tasks: assignments,
             });
         }
-        if missing > 0 {
+        if unplaced > 0 {
             if entry.minimum_share {
-                *self.schedule.starved.entry(entry.id.clone()).or_default() += missing;
+                *self.schedule.starved.entry(entry.id.clone()).or_default() += unplaced;
             }
-            self.schedule.unplaced.push((entry.id.clone(), missing));
+            self.schedule.unplaced.push((entry.id.clone(), unplaced));
         }
     }
 }
--- a/src/scheduling/starvation.rs
+++ b/src/scheduling/starvation.rs
@@ -31,7 +31,7 @@
 }
 
 /// Raises tasks of starved classes. Services and jobs of high priority stay before them.
-pub(super) fn protect_starved<'a>(
+pub(super) fn protect_starved_classes<'a>(
     input: &SchedulingInput<'a>,
     quotas: &mut QuotaLedger<'a>,
     queue: &mut Vec<QueueEntry<'a>>,
@@ -47,8 +47,8 @@
     let teams = input.teams.iter().map(|team| &*team.name);
     let scopes = Scopes(teams.filter(|team| quotas.binds(team)).collect());
     let demands = class_demands(input, &scopes);
-    let mut shares_left = minimum_shares(input, &demands, quotas);
-    raise_entries(input, &scopes, &mut shares_left, queue);
+    let mut remaining_shares = minimum_shares(input, &demands, quotas);
+    prioritize_entries(input, &scopes, &mut remaining_shares, queue);
 }
 
 fn is_active_array(job: &Job) -> bool {
@@ -112,8 +112,9 @@
     let scopes: BTreeSet<Option<&str>> = demands.keys().map(|key| key.scope).collect();
     for scope in scopes {
         let in_scope = || demands.iter().filter(|(key, _)| key.scope == scope);
-        let list: Vec<ClassDemand> = in_scope().map(|(_, demand)| demand.clone()).collect();
-        for ((key, _), cpus) in in_scope().zip(minimum_share::minimum_share(&list)) {
+        let scope_demands: Vec<ClassDemand> =
+            in_scope().map(|(_, demand)| demand.clone()).collect();
+        for ((key, _), cpus) in in_scope().zip(minimum_share::minimum_share(&scope_demands)) {
             if let Some(team) = scope {
                 quotas.reserve_minimum_share(team, cpus);
             }
@@ -124,10 +125,10 @@
 }
 
 /// Raises entries, own and oldest first, as far as the shares go; an entry that exceeds its share is split.
-fn raise_entries<'a>(
+fn prioritize_entries<'a>(
     input: &SchedulingInput<'a>,
     scopes: &Scopes<'a>,
-    shares_left: &mut BTreeMap<ClassKey<'a>, i64>,
+    remaining_shares: &mut BTreeMap<ClassKey<'a>, i64>,
     queue: &mut Vec<QueueEntry<'a>>,
 ) {
     let mut order: Vec<usize> = (0..queue.len())
@@ -139,26 +140,26 @@
             !entry.owned,
             entry.job.waiting_since,
             entry.id,
-            entry.first_waiting,
+            entry.waiting_offset,
         )
     });
     for index in order {
         let entry = &mut queue[index];
-        let Some(cpus_left) = shares_left.get_mut(&scopes.key(entry.job)) else {
+        let Some(remaining_cpus) = remaining_shares.get_mut(&scopes.key(entry.job)) else {
             continue;
         };
         let cpus_per_task = entry.job.spec.resources.cpus.max(1);
         // Rounded up: one task also where the share is smaller than a task.
-        let tasks = (*cpus_left + cpus_per_task - 1)
+        let tasks = (*remaining_cpus + cpus_per_task - 1)
             .div_euclid(cpus_per_task)
             .clamp(0, entry.count as i64);
         if tasks == 0 {
             continue;
         }
-        *cpus_left -= tasks * cpus_per_task;
+        *remaining_cpus -= tasks * cpus_per_task;
         let tasks = tasks as usize;
         let remainder = QueueEntry {
-            first_waiting: entry.first_waiting + tasks,
+            waiting_offset: entry.waiting_offset + tasks,
             count: entry.count - tasks,
             ..*entry
         };
--- a/src/scheduling/zones.rs
+++ b/src/scheduling/zones.rs
@@ -13,7 +13,7 @@
 }
 
 /// The most tasks that a job with `zone_spread` may have in one zone.
-pub(super) fn most_per_zone(spec: &JobSpec) -> u32 {
+pub(super) fn max_tasks_per_zone(spec: &JobSpec) -> u32 {
     spec.task_count.div_ceil(2)
 }
 
@@ -35,7 +35,7 @@
     if spec.single_zone && counts.keys().any(|other| *other != zone) {
         return false;
     }
-    !(spec.zone_spread && counts.get(zone).copied().unwrap_or(0) >= most_per_zone(spec))
+    !(spec.zone_spread && counts.get(zone).copied().unwrap_or(0) >= max_tasks_per_zone(spec))
 }
 
 /// Keeps the zones to which one more task of a job may go, given where its other tasks are.
