--- a/src/scheduling/attempt.rs
+++ b/src/scheduling/attempt.rs
@@ -1,5 +1,5 @@
-//! Placement of equal tasks of one job: arrays and services. An attempt collects the assignments and takes
-//! the resources from the candidate machines.
+//! Placement of identical tasks of one array or service. An attempt collects the assignments and
+//! allocates the resources on the candidate machines.
 
 use super::backfill::GpuDemand;
 use super::bin_packing::{self, CandidateMachines, RankedMachine, Score};
@@ -10,28 +10,29 @@
 use crate::jobs::model::{JobSpec, Resources, TaskState};
 use crate::wire::user::JobKind;
 
-/// A task, its machine and the session of the machine's worker, as `JobChange::Place` has them.
+/// A task index, its machine and the session of the machine's worker, as in `JobChange::Place`.
 pub(super) type Assignment = (u32, MachineId, u64);
 
-/// So many tasks of a job at most are placed in one run: the next run follows at once.
+/// Maximum number of tasks that one attempt places; the next run follows immediately.
 const MAX_TASKS_PER_ATTEMPT: usize = 512;
 
-/// Equal tasks of one job that are looking for machines.
+/// Attempt to place identical tasks of one job.
 pub(super) struct PlacementAttempt<'a> {
     pub(super) spec: &'a JobSpec,
-    /// Whether the scheduling controller owns the job.
+    /// Whether this controller owns the job.
     pub(super) owned: bool,
     pub(super) gpu_demand: GpuDemand,
-    /// Where the job's tasks are, with those placed here; empty without a zone constraint.
+    /// Number of the job's tasks in each zone, including those placed by this attempt; empty without a
+    /// zone constraint.
     pub(super) tasks_by_zone: TasksByZone<'a>,
     /// Indexes of the tasks to place.
     task_indexes: Vec<u32>,
-    /// The first of them, with their machines.
+    /// Assignments made so far, in the order of `task_indexes`.
     pub(super) assignments: Vec<Assignment>,
 }
 
 impl<'a> PlacementAttempt<'a> {
-    /// An attempt for the first `permitted` tasks of an entry.
+    /// Creates an attempt for the first `permitted` tasks of an entry.
     pub(super) fn new(
         entry: &QueueEntry<'a>,
         permitted: u32,
@@ -56,20 +57,21 @@
         }
     }
 
-    /// Tasks that this attempt is to place.
+    /// Number of tasks to place.
     pub(super) fn requested_tasks(&self) -> usize {
         self.task_indexes.len()
     }
 
-    /// The free resources of a machine that these tasks may use.
+    /// Returns the free resources of a machine that these tasks may use.
     pub(super) fn offered_resources(&self, candidate: &CandidateMachine<'_>) -> Resources {
         self.gpu_demand.offered_resources(self.spec, candidate)
     }
 
-    /// Whether these tasks may go to a machine, without a look at more than its free CPUs.
+    /// Returns whether these tasks may run on a machine; of its free resources only the CPUs are checked.
     fn is_eligible(&self, candidate: &CandidateMachine<'_>) -> bool {
-        // A service may go to another owner's machine: in a small cluster its own owner has few that
-        // hold its image. Arrays do not, so that owners seldom take the same resources.
+        // A service may run on another owner's machine: in a small cluster few machines of the job's
+        // owner have its image cached. Arrays may not, so that two owners rarely allocate the same
+        // resources.
         (candidate.owned || (self.owned && self.spec.kind == JobKind::Service))
             && candidate.free.cpus >= self.spec.resources.cpus
             && machine_allowed(self.spec, candidate.machine)
@@ -79,7 +81,8 @@
         self.offered_resources(candidate).fits(&self.spec.resources)
     }
 
-    /// Score of a machine for these tasks, as if it had the image cached or not; `None` if none fits.
+    /// Returns the score of a machine for these tasks, with the image assumed cached or not as given;
+    /// `None` if the tasks may not run there or do not fit.
     pub(super) fn score(
         &self,
         candidate: &CandidateMachine<'_>,
@@ -89,7 +92,7 @@
             .then(|| bin_packing::score(self.spec, candidate, image_cached))
     }
 
-    /// Places up to `limit` tasks on machines in this order and returns how many.
+    /// Places up to `limit` tasks on the machines in the given order and returns the number placed.
     pub(super) fn fill(
         &mut self,
         candidates: &mut CandidateMachines<'a>,
@@ -106,7 +109,7 @@
         placed
     }
 
-    /// Places one task of a job with a zone constraint. Returns whether a machine was found.
+    /// Places one task of a job with a zone constraint and returns whether a machine was found.
     pub(super) fn place_one(&mut self, candidates: &mut CandidateMachines<'a>) -> bool {
         let spec = self.spec;
         let best = candidates
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -1,5 +1,5 @@
-//! Backfill: tasks without GPUs on machines with GPUs. They get what GPU work leaves, and leave when a
-//! gang needs their resources. Pure.
+//! Backfill: tasks without GPUs on machines with GPUs. They use the resources that GPU tasks leave free
+//! and are preempted when a gang needs them. Pure functions.
 
 use super::machines::CandidateMachine;
 use crate::autoscaler::model::MachineRecord;
@@ -8,18 +8,20 @@
 use crate::jobs::model::{JobSpec, Resources};
 use crate::store::cluster_state::ClusterState;
 
-/// What GPU work needs of a machine with GPUs: kept free from all other tasks.
+/// Demand of GPU tasks, for which resources are reserved on machines with GPUs.
 #[derive(Clone, Copy)]
 pub(super) struct GpuDemand {
-    /// The most that any task with GPUs takes, by resource.
+    /// Maximum over all GPU tasks, for each resource separately.
     largest_task: Resources,
-    /// Whether such a task waits; only then is anything kept free.
+    /// Whether a GPU task is waiting. If there are machine types without GPUs, resources are reserved
+    /// only then.
     gpu_task_waiting: bool,
 }
 
 impl GpuDemand {
-    /// `all_kinds`: whether this run looks at all waiting jobs. A run for services alone has only these
-    /// to look at, and offers nobody else what GPU work leaves.
+    /// Computes the demand. `all_kinds` is whether this run considers all waiting jobs. A run that is
+    /// restricted to services reads no other jobs, so it offers the resources that GPU tasks leave
+    /// free to none of them.
     pub(super) fn of(view: &ClusterState, all_kinds: bool) -> GpuDemand {
         let mut largest_task = Resources::default();
         for [cpus, gpus, memory] in view.indexes().gpu_task_sizes.keys() {
@@ -38,7 +40,7 @@
         }
     }
 
-    /// The free resources of a machine that a job may use.
+    /// Returns the free resources of a machine that a job may use.
     pub(super) fn offered_resources(
         &self,
         spec: &JobSpec,
@@ -60,7 +62,7 @@
         }
         let gpus_per_task = self.largest_task.gpus.max(1);
         let gpu_tasks = (machine_gpus / gpus_per_task).max(1);
-        // The resources of GPU tasks that run here are taken already.
+        // The resources of GPU tasks that already run here are not in `free`.
         let reserved_tasks = gpu_tasks - (machine_gpus - candidate.free.gpus) / gpus_per_task;
         let mut offered = candidate.free;
         if reserved_tasks > 0 {
@@ -74,12 +76,12 @@
     }
 }
 
-/// Whether there are machine types without GPUs.
+/// Returns whether there are machine types without GPUs.
 pub(super) fn has_cpu_only_types(view: &ClusterState) -> bool {
     view.machine_types.values().any(|t| t.gpus == 0.0)
 }
 
-/// Whether a machine runs nothing but backfill tasks.
+/// Returns whether a machine runs only backfill tasks, or no tasks at all.
 pub fn backfill_only(view: &ClusterState, id: &MachineId, machine: &MachineRecord) -> bool {
     view.tasks_on(id).is_none_or(|tasks| {
         view.usage(id).backfills as usize == tasks.len()
@@ -91,11 +93,11 @@
     })
 }
 
-/// Backfill tasks on one machine.
+/// The backfill tasks on one machine.
 pub(super) struct BackfillTasks {
-    /// What all of them take.
+    /// Total resources of the tasks.
     pub(super) resources: Resources,
-    /// Stops of those that have not been asked to leave yet.
+    /// Stop changes for the tasks that are not stopping yet.
     pub(super) stops: Vec<JobChange>,
 }
 
--- a/src/scheduling/bin_packing.rs
+++ b/src/scheduling/bin_packing.rs
@@ -1,7 +1,7 @@
-//! Bin packing: the candidate machines of one run, ranked for task shapes. It owns the machines' free
-//! resources. Many jobs of a backlog ask for the same, so from the second job of a shape on the order of
-//! the machines is kept and follows what is taken: a run costs machines and what it takes of them, not
-//! jobs times machines.
+//! Bin packing: the candidate machines of one run, ranked by task shape. This module owns the machines'
+//! free resources. Many jobs in a backlog have the same shape, so from the second job of a shape on, the
+//! ranking is cached and updated incrementally: the cost of a run grows with machines plus allocations,
+//! not with jobs times machines.
 
 use super::attempt::PlacementAttempt;
 use super::machines::CandidateMachine;
@@ -10,27 +10,28 @@
 use foldhash::{HashMap, HashSet};
 use std::collections::BTreeSet;
 
-/// How well a machine suits a task; smaller is better.
+/// Score of a machine for a task; lower is better.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Score {
-    /// Sum of what speaks against the machine.
+    /// Sum of the penalties that apply to the machine.
     pub(super) penalty: i64,
-    /// Best fit: the fullest machine first.
+    /// Free CPUs in thousandths: best fit prefers the fullest machine.
     free_cpus: i64,
 }
 
-/// A machine and its score. Of equal ones the first in the list is better.
+/// A machine and its score. Ties are resolved by list order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct RankedMachine {
     pub(super) score: Score,
-    /// Place in the list of candidates.
+    /// Index in the list of candidates.
     pub(super) index: usize,
 }
 
-/// What two jobs must share for a machine to suit either as well.
+/// Job properties that decide which machines are allowed and how they score, except the image and
+/// the owner of the job.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct TaskShape<'a> {
-    /// CPUs, GPUs, memory.
+    /// CPUs, GPUs, memory of one task.
     resources: [i64; 3],
     pub(super) service: bool,
     backfill: bool,
@@ -56,30 +57,33 @@
 /// The candidate machines of a run.
 pub(super) struct CandidateMachines<'a> {
     pub(super) list: Vec<CandidateMachine<'a>>,
-    /// Machines of which something was taken, in that order, not repeated where equal to the last.
+    /// Indexes of the machines on which resources were allocated, in order; consecutive duplicates are
+    /// stored once.
     allocation_log: Vec<usize>,
-    /// Rankings that were asked for at least once.
+    /// Keys of rankings that were requested at least once.
     requested_keys: HashSet<RankingKey<'a>>,
     rankings: HashMap<RankingKey<'a>, Ranking>,
-    /// By image: machines that have cached it, of those with free CPUs when a ranking was first kept.
+    /// Machines that have an image cached, by image. Covers the machines that had free CPUs when the
+    /// first ranking was cached.
     machines_by_image: Option<HashMap<&'a str, HashSet<usize>>>,
 }
 
-/// What a ranking is for.
+/// Key of a cached ranking.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct RankingKey<'a> {
     shape: TaskShape<'a>,
-    /// Whether the scheduling controller owns the job.
+    /// Whether this controller owns the job.
     owned: bool,
-    /// Rank only machines that have this image.
+    /// Restricts the ranking to machines that have this image cached; `None` for all machines.
     image: Option<&'a str>,
 }
 
-/// Machines in their order for one task shape.
+/// Machines ordered by their score for one task shape.
 struct Ranking {
     order: BTreeSet<RankedMachine>,
     scores: HashMap<usize, Score>,
-    /// How much of the log it has applied. Not its last machine, of which more may be taken since.
+    /// Number of applied entries of the allocation log. The last entry is never counted as applied: it
+    /// stands for later allocations on the same machine, too.
     applied_entries: usize,
 }
 
@@ -94,7 +98,7 @@
         }
     }
 
-    /// Takes resources of a machine.
+    /// Allocates resources on a machine.
     pub(super) fn allocate(&mut self, index: usize, resources: &Resources) {
         self.list[index].free.subtract(resources);
         if self.allocation_log.last() != Some(&index) {
@@ -102,8 +106,9 @@
         }
     }
 
-    /// The best machines for the tasks of an attempt, at most `limit`, best first. Filling the best one
-    /// keeps it the best while tasks fit: less free is better, and nothing else in the score gets worse.
+    /// Returns up to `limit` of the best machines for the tasks of an attempt, best first. A machine
+    /// stays the best while it is filled, as long as tasks fit: fewer free CPUs score better, and
+    /// nothing else in the score gets worse.
     pub(super) fn best_machines(
         &mut self,
         shape: TaskShape<'a>,
@@ -128,8 +133,8 @@
         self.merge_rankings(&any_image, &cached_image, limit)
     }
 
-    /// The best machines by one look at all: most runs have one job of a shape, for which a ranking that
-    /// is kept would not pay.
+    /// Returns the best machines by scanning all candidates. Most runs have one job of a shape, for which
+    /// caching a ranking costs more than it saves.
     fn best_by_full_scan(
         &self,
         attempt: &PlacementAttempt<'a>,
@@ -143,7 +148,7 @@
                 Some(RankedMachine { score, index })
             })
             .collect();
-        // Each machine takes one task at least, so that more than `limit` are never needed.
+        // Each machine takes at least one task, so more than `limit` machines are never needed.
         if limit > 0 && limit < ranked.len() {
             ranked.select_nth_unstable(limit - 1);
             ranked.truncate(limit);
@@ -166,8 +171,8 @@
         self.machines_by_image = Some(by_image);
     }
 
-    /// The first machines of two rankings of one shape. The ranking for any image scores all machines as
-    /// if they had to fetch it: there those that have it are skipped.
+    /// Merges two rankings of one shape and returns the best machines. The ranking for any image scores
+    /// every machine as if it had to fetch the image, so machines that have it are skipped there.
     fn merge_rankings(
         &self,
         any_image: &RankingKey<'a>,
@@ -205,7 +210,7 @@
         self.machines_by_image.as_ref()?.get(image?)
     }
 
-    /// Makes a ranking, or applies to it what was taken since.
+    /// Creates a ranking, or applies the allocations since its last update.
     fn update_ranking(&mut self, key: RankingKey<'a>, attempt: &PlacementAttempt<'a>) {
         if !self.rankings.contains_key(&key) {
             let ranking = self.new_ranking(&key, attempt);
@@ -248,7 +253,7 @@
 }
 
 impl Ranking {
-    /// Moves a machine to its new place; without a score it is removed.
+    /// Moves a machine to the position of its new score, or removes it if there is none.
     fn set_score(&mut self, index: usize, score: Option<Score>) {
         if let Some(score) = self.scores.remove(&index) {
             self.order.remove(&RankedMachine { score, index });
@@ -260,21 +265,21 @@
     }
 }
 
-/// Added where a task without GPUs would use a machine with GPUs.
+/// Added if a task without GPUs would use a machine with GPUs.
 const GPU_MACHINE_PENALTY: i64 = 4;
-/// Added while a machine still boots.
+/// Added while a machine is booting.
 const BOOTING_PENALTY: i64 = 8;
-/// Added where the image has to be fetched first.
+/// Added if the image must be fetched first.
 const IMAGE_FETCH_PENALTY: i64 = 2;
-/// Added for an ordinary machine where a spot machine would do.
+/// Added for an on-demand machine if the job allows spot machines.
 const ON_DEMAND_PENALTY: i64 = 1;
 /// Added for a service on another owner's machine.
 const OTHER_OWNER_PENALTY: i64 = 1;
-/// Added where an array's small task would break into an empty machine: small tasks are drawn together, so
-/// that whole machines stay for those that need one, and empty ones can be released.
+/// Added if a small task of an array would start on an empty machine. Small tasks are packed together, so
+/// that whole machines stay free for tasks that need one, and empty machines can be released.
 const EMPTY_MACHINE_PENALTY: i64 = 3;
 
-/// Scores a machine for a job's tasks, as if it had the image cached or not.
+/// Scores a machine for a job's tasks, with the image assumed cached or not as given.
 pub(super) fn score(spec: &JobSpec, candidate: &CandidateMachine<'_>, image_cached: bool) -> Score {
     let mut penalty = 0;
     if candidate.capacity.gpus > 0 && spec.resources.gpus == 0 {
