--- a/src/scheduling/draining.rs
+++ b/src/scheduling/draining.rs
@@ -1,6 +1,6 @@
-//! Stops of tasks that must not go on: gangs that lost a task, tasks on machines that are draining (a spot
-//! preemption notice, as a rule) or closing. A gang is stopped by the controller that places gangs, with
-//! one write; other tasks by the owner of their machine.
+//! Stops of tasks that must not continue: gangs that lost a task, and tasks on machines that are draining
+//! (usually after a spot preemption notice) or closing. A gang is stopped by the controller that places
+//! gangs, in one write; other tasks are stopped by the owner of their machine.
 
 use super::SchedulingInput;
 use super::backfill::backfill_only;
@@ -13,7 +13,7 @@
 use crate::wire::user::JobKind;
 use std::collections::BTreeSet;
 
-/// Adds the stops that are due.
+/// Adds the due stops to `changes`.
 pub(super) fn drain_machines(input: &SchedulingInput<'_>, changes: &mut Vec<JobChange>) {
     if input.place_gangs {
         for id in gangs_to_check(input.view) {
@@ -29,7 +29,8 @@
     }
 }
 
-/// Jobs of which a task waits, perhaps while others are placed, and jobs on draining machines.
+/// Returns the jobs with a waiting task, whose other tasks may still be placed, and the jobs with a
+/// task on a draining machine.
 fn gangs_to_check(view: &ClusterState) -> BTreeSet<&JobId> {
     let draining = |id: &MachineId| {
         let machine = view.machines.get(id);
@@ -52,7 +53,8 @@
     jobs
 }
 
-/// Stops a gang as a whole: at once if it lost a task, else with time for a checkpoint.
+/// Stops all tasks of a gang: immediately if the gang lost a task, otherwise with time to save a
+/// checkpoint.
 fn stop_gang(id: &JobId, job: &Job, changes: &mut Vec<JobChange>) {
     if job.placed == 0 || job.spec.kind != JobKind::Gang || job.cancelled() {
         return;
@@ -77,8 +79,8 @@
     }
 }
 
-/// Whether the scheduling controller has to empty a machine: a draining one, or a closing one that runs
-/// backfill tasks alone.
+/// Returns whether this controller must stop the tasks on a machine: one that it owns and that is
+/// draining, or closing with only backfill tasks left.
 fn must_empty(input: &SchedulingInput<'_>, id: &MachineId) -> bool {
     let view = input.view;
     let Some(machine) = view.machines.get(id) else {
@@ -92,7 +94,8 @@
     (machine.state == MachineState::Draining || only_backfill_left()) && (input.owns_machine)(id)
 }
 
-/// Stops services, and arrays that save checkpoints. Other arrays may end in time.
+/// Stops services, and arrays that save checkpoints. Other arrays keep running, because they may
+/// finish before the machine is terminated.
 fn stop_tasks_on(view: &ClusterState, machine: &MachineId, changes: &mut Vec<JobChange>) {
     for ((id, index), placement) in view.tasks_on(machine).into_iter().flatten() {
         let Some(job) = view.jobs.get(id).filter(|job| !job.cancelled()) else {
@@ -112,7 +115,7 @@
     }
 }
 
-/// Time that a task gets to stop; `None` if it is not stopped here.
+/// Returns the grace period of a task on such a machine; `None` if the task is not stopped here.
 fn grace_period(job: &Job) -> Option<Micros> {
     let spec = &job.spec;
     match spec.kind {
--- a/src/scheduling/gang.rs
+++ b/src/scheduling/gang.rs
@@ -1,5 +1,5 @@
-//! Gang scheduling: machines for all tasks of a gang, or for none. Where backfill tasks use some of them,
-//! these are asked to save and leave, and the gang waits for that.
+//! Gang scheduling: places all tasks of a gang or none. Where backfill tasks occupy the machines, they
+//! are stopped with time to save a checkpoint, and the gang waits until they have left.
 
 use super::attempt::Assignment;
 use super::backfill::{BackfillTasks, GpuDemand};
@@ -12,34 +12,35 @@
 use crate::time::{Micros, SECOND};
 use foldhash::{HashMap, HashMapExt};
 
-/// A gang that has waited this long keeps free machines from younger ones.
+/// Waiting time after which free machines are reserved for a gang, so that later gangs in the queue do not
+/// get them.
 pub(super) const GANG_RESERVATION_DELAY: Micros = 40 * SECOND;
 
-/// Added where a machine fits once backfill tasks that are stopping already have left.
+/// Added if a task fits only once backfill tasks that are already stopping have left.
 const WAIT_FOR_BACKFILL_PENALTY: i64 = 16;
-/// Added to that where some would have to be stopped first.
+/// Added on top of that if some backfill tasks have not been stopped yet.
 const STOP_BACKFILL_PENALTY: i64 = 16;
 
-/// A machine for tasks of a gang.
+/// A machine on which tasks of a gang may be placed.
 struct GangMachine {
     score: Score,
-    /// Place in the list of candidates.
+    /// Index in the list of candidates.
     index: usize,
-    /// What it offers, once backfill tasks have left.
+    /// Resources that it offers once backfill tasks have left.
     resources: Resources,
 }
 
 /// Result of an attempt to place a gang.
 pub(super) enum GangPlacement {
-    /// All its tasks, with their machines.
+    /// All tasks of the gang, with their machines.
     Placed(Vec<Assignment>),
-    /// Its machines are taken; backfill tasks leave them first, by these changes.
+    /// Machines are allocated, but backfill tasks must leave them first; these changes stop them.
     WaitsForBackfill(Vec<JobChange>),
-    /// There are not enough machines.
+    /// Not enough machines.
     NoCapacity,
 }
 
-/// Places a gang. In a forecast backfill tasks need not have left.
+/// Places a gang. A forecast places it even if backfill tasks have not left yet.
 pub(super) fn place_gang(
     view: &ClusterState,
     job: &Job,
@@ -73,7 +74,8 @@
     GangPlacement::WaitsForBackfill(stops)
 }
 
-/// Takes the machines on which one task of a gang fits now, so that no younger gang gets them.
+/// Allocates resources for one task on each machine on which a task of a gang fits now, so that no later
+/// gang in the queue gets these machines. Does nothing for gangs without GPUs.
 pub(super) fn reserve_free_machines(spec: &JobSpec, candidates: &mut CandidateMachines<'_>) {
     for index in 0..candidates.list.len() {
         let candidate = &candidates.list[index];
@@ -86,7 +88,7 @@
     }
 }
 
-/// Machines on which a task of a gang fits now, or once backfill tasks have left; best first.
+/// Returns the machines on which a task of a gang fits now or once backfill tasks have left, best first.
 fn rank_machines(
     view: &ClusterState,
     job: &Job,
@@ -134,8 +136,8 @@
     machines
 }
 
-/// The machine of each task, as places in the list of candidates; `None` if there are not enough. A gang
-/// that needs a single zone tries the zones by name.
+/// Chooses a machine for each task and returns their indexes in the list of candidates; `None` if there
+/// are not enough machines. For a gang that needs a single zone the zones are tried in order of name.
 fn choose_machines(
     spec: &JobSpec,
     candidates: &CandidateMachines<'_>,
@@ -153,7 +155,7 @@
         .find_map(|zone| choose_machines_in_zone(spec, candidates, machines, Some(zone)))
 }
 
-/// The same within one zone, or in any.
+/// Chooses machines within one zone, or in all zones if `only_zone` is `None`.
 fn choose_machines_in_zone(
     spec: &JobSpec,
     candidates: &CandidateMachines<'_>,
--- a/src/scheduling/gang_reservation.rs
+++ b/src/scheduling/gang_reservation.rs
@@ -1,5 +1,5 @@
-//! Quota reservations for gangs: without them a large gang of a team at its limit never starts, because
-//! small tasks take whatever is released. Writes only to the run's quota ledger.
+//! Quota reservations for gangs. Without them a large gang of a team at its limit never starts, because
+//! small tasks take all quota that is released. Changes only the quota ledger of the run.
 
 use super::SchedulingInput;
 use super::gang::GANG_RESERVATION_DELAY;
@@ -13,10 +13,10 @@
 use crate::wire::user::JobKind;
 use std::collections::BTreeMap;
 
-/// A gang waits this long before quota is reserved for it: most start sooner.
+/// Waiting time after which quota is reserved for a gang; most gangs start sooner.
 const QUOTA_RESERVATION_DELAY: Micros = 5 * SECOND;
 
-/// A gang that waits.
+/// A waiting gang.
 #[derive(Clone, Copy)]
 struct WaitingGang<'a> {
     age: Micros,
@@ -31,7 +31,8 @@
         all_tasks.cpus.max(1) as u128
     }
 
-    /// By age over CPUs, compared without a division: small gangs go first, and large ones with age.
+    /// Returns whether this gang comes before another one. The order is by descending age per CPU, compared
+    /// without a division: small gangs come first, and large gangs move forward with age.
     fn precedes(&self, other: &WaitingGang<'_>) -> bool {
         let weight = u128::from(self.age) * other.cpus();
         let other_weight = u128::from(other.age) * self.cpus();
@@ -39,17 +40,18 @@
     }
 }
 
-/// Reserves, of each limit that binds, what one gang needs: the one that has waited longest for its size,
-/// if the machines for it are there. Where machines are missing nothing is reserved; the forecast, which
-/// has them come, assumes that the team's arrays will have released resources by then.
+/// Reserves quota for one gang of each team whose limit keeps work waiting: the gang with the longest
+/// waiting time for its size, if there are enough machines for it. Otherwise nothing is reserved. A
+/// forecast, which causes missing machines to be provisioned, reserves quota in any case: it assumes that
+/// the team's arrays will have released their resources by the time those machines are up.
 pub(super) fn reserve_for_gangs<'a>(input: &SchedulingInput<'a>, quotas: &mut QuotaLedger<'a>) {
     for gang in next_gang_by_team(input, quotas).into_values() {
         let spec = &gang.job.spec;
         let running = running_by_kind(input.view, &spec.team);
         let all_cpus = running.gangs.cpus + running.arrays.cpus;
-        // Gangs get this share and no more: they are large, and arrays would get nothing.
+        // Gangs are limited to this share: they are large, and arrays would get nothing otherwise.
         if running.gangs.cpus as f64 > all_cpus as f64 * minimum_share::SHARE {
-            // Arrays take what is released: machines that come for a gang would stand idle.
+            // Arrays take the released quota, so machines provisioned for a gang would be idle.
             if input.forecast {
                 quotas.close_gangs(&spec.team);
             }
@@ -62,7 +64,7 @@
     }
 }
 
-/// Of each team whose limit binds the gang that goes first.
+/// Returns the first gang in order for each team whose limit keeps work waiting.
 fn next_gang_by_team<'a>(
     input: &SchedulingInput<'a>,
     quotas: &QuotaLedger<'a>,
@@ -85,7 +87,7 @@
     next
 }
 
-/// What the running tasks of a team take.
+/// Resources of a team's running tasks, by job kind.
 #[derive(Default)]
 struct RunningByKind {
     gangs: Resources,
@@ -105,7 +107,7 @@
     running
 }
 
-/// Whether all tasks of a gang would fit onto the machines that are up, or soon will be.
+/// Returns whether all tasks of a gang would fit on the machines that are up, or will be soon.
 fn has_enough_machines(input: &SchedulingInput<'_>, spec: &JobSpec) -> bool {
     let view = input.view;
     let needed = i64::from(spec.task_count);
@@ -120,7 +122,7 @@
         if machine_allowed(spec, machine) && is_up_soon(input, machine, machine_type.boot_time_s) {
             let mut free = Resources::of_machine(machine_type);
             free.subtract(&view.usage(id).used);
-            // Backfill tasks leave when asked: where GPUs are needed only these count.
+            // Backfill tasks are preempted, so for tasks with GPUs only the free GPUs count.
             fitting += match spec.resources.gpus {
                 0 => free.count_fitting(&spec.resources),
                 gpus => free.gpus / gpus,
@@ -130,7 +132,8 @@
     fitting >= needed
 }
 
-/// Whether a machine is up, or half through its boot: while the last ones boot the quota is released.
+/// Returns whether a machine is up, or past half of its boot time. Half is enough, because quota is
+/// released while the last machines boot.
 fn is_up_soon(input: &SchedulingInput<'_>, machine: &MachineRecord, boot_time_s: f64) -> bool {
     match machine.state {
         MachineState::Up => true,
