--- a/src/scheduling/machines.rs
+++ b/src/scheduling/machines.rs
@@ -1,5 +1,5 @@
-//! Candidate machines of one scheduling run: which there are, what is free on them, which a job may use.
-//! A candidate belongs to the run; its free resources fall as tasks are placed.
+//! Candidate machines of one scheduling run: their selection, their free resources, and the rules on which
+//! of them a job may use. A candidate belongs to the run; its free resources decrease as tasks are placed.
 
 use super::SchedulingInput;
 use super::backfill::BackfillTasks;
@@ -12,43 +12,43 @@
 use crate::wire::user::JobKind;
 use foldhash::{HashMap, HashSet};
 
-/// Where more than one machine in so many has free resources, all are looked through in a row: that is
-/// cheaper than one look-up each.
+/// All machines are scanned if more than one in `FULL_SCAN_RATIO` may have enough free CPUs: a scan is then
+/// cheaper than a look-up for each of these.
 const FULL_SCAN_RATIO: usize = 4;
 
-/// Attempts that a gang may lose before it avoids spot machines.
+/// Number of lost attempts after which a gang avoids spot machines.
 const MAX_GANG_SPOT_ATTEMPTS: u32 = 2;
 
-/// A machine that may be given tasks.
+/// A machine on which tasks may be placed.
 pub(super) struct CandidateMachine<'a> {
     pub(super) id: &'a MachineId,
     pub(super) machine: &'a MachineRecord,
     /// Session of its worker.
     pub(super) session: u64,
-    /// Belongs to the scheduling controller.
+    /// Whether this controller owns the machine.
     pub(super) owned: bool,
-    /// Still boots; only in a forecast.
+    /// Whether the machine is still booting; only in a forecast.
     pub(super) booting: bool,
     pub(super) free: Resources,
     pub(super) capacity: Resources,
     /// Images that its worker has probably cached.
     pub(super) images: Option<&'a HashSet<String>>,
-    /// Found when first asked for.
+    /// Computed on first use.
     pub(super) preemptible: Option<PreemptibleTasks>,
-    /// Found when first asked for.
+    /// Computed on first use.
     pub(super) backfill: Option<BackfillTasks>,
     pub(super) has_cpu_only_types: bool,
 }
 
 impl CandidateMachine<'_> {
-    /// Whether the machine has probably cached a job's image.
+    /// Returns whether the machine's worker has probably cached a job's image.
     pub(super) fn has_image(&self, spec: &JobSpec) -> bool {
         self.images
             .is_some_and(|images| images.contains(&spec.image))
     }
 }
 
-/// Whether a machine is of a type, zone and price model that the job allows.
+/// Returns whether a job allows a machine's type, zone and price model (spot or on-demand).
 pub fn machine_allowed(spec: &JobSpec, machine: &MachineRecord) -> bool {
     spec.machine_types
         .as_ref()
@@ -57,9 +57,10 @@
         && (spec.allow_spot || !machine.spot)
 }
 
-/// Whether a job's tasks may go to spot machines now. One preempted machine of a gang ends the whole
-/// attempt, and what was computed since the last checkpoint is lost: on many spot machines, preempted
-/// more often than it saves, a large gang makes no progress and pays for all of them again and again.
+/// Returns whether a job's tasks may be placed on spot machines now. The preemption of one machine ends
+/// the attempt of the whole gang, and all computation since the last checkpoint is lost. On many spot
+/// machines a large gang can be preempted more often than it saves checkpoints: it makes no progress,
+/// and all its machines are paid for again with each attempt.
 pub fn may_use_spot(job: &Job) -> bool {
     let lost_attempts = || job.slot(0).map_or(0, TaskState::attempt);
     job.spec.allow_spot
@@ -68,7 +69,7 @@
             || lost_attempts() < MAX_GANG_SPOT_ATTEMPTS)
 }
 
-/// Makes candidates of machines.
+/// Creates candidates from machine records.
 pub(super) struct CandidateSource<'i, 'a> {
     input: &'i SchedulingInput<'a>,
     capacities: HashMap<&'a str, Resources>,
@@ -118,7 +119,7 @@
         })
     }
 
-    /// All schedulable machines, in order of their ids.
+    /// Returns all schedulable machines, ordered by id.
     pub(super) fn all(&self) -> Vec<CandidateMachine<'a>> {
         let machines = self.input.view.machines.iter();
         machines
@@ -126,7 +127,7 @@
             .collect()
     }
 
-    /// Machines on which the smallest task of the queue may fit, in order of their ids.
+    /// Returns the machines on which the task with the fewest CPUs in the queue may fit, ordered by id.
     pub(super) fn with_free_resources(
         &self,
         queue: &[QueueEntry<'_>],
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Adds the schedulable machines that are not in a list yet.
+    /// Adds the schedulable machines that are not yet in a list.
     pub(super) fn add_missing(&self, list: &mut Vec<CandidateMachine<'a>>) {
         let listed: HashSet<&MachineId> = list.iter().map(|candidate| candidate.id).collect();
         let machines = self.input.view.machines.iter();
@@ -158,7 +159,7 @@
     }
 }
 
-/// Machines on which so many CPUs (in thousandths) may be free, in order of their ids.
+/// Returns the machines on which at least `min_cpus` (in thousandths) may be free, ordered by id.
 fn machines_with_free_cpus<'a>(input: &SchedulingInput<'a>, min_cpus: i64) -> Vec<&'a MachineId> {
     let index = input.view.indexes();
     let from = (min_cpus, MachineId::from(""));
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -1,11 +1,11 @@
-//! Scheduling: which waiting task goes to which machine, and what is preempted for it. A pure function of
-//! the cluster state and of what the workers of a controller's machines reported. Each owner schedules on
-//! the machines of its own shards: first the waiting tasks of its own jobs, in priority order, then with
-//! what is left those of other owners' jobs. One owner places gangs, on all machines. Conditional writes
-//! settle what collides all the same.
+//! Scheduling: assigns waiting tasks to machines and chooses the tasks to preempt for them. A pure function
+//! of the cluster state and of the reports of the workers on a controller's machines. Each controller
+//! schedules on the machines of the shards that it owns: first the waiting tasks of jobs that it owns, in
+//! priority order, then other owners' jobs on the remaining resources. One controller places gangs, on all
+//! machines. Conflicts that remain are resolved by conditional writes.
 //!
-//! Equal tasks are decided together: the cost is that of jobs and of machines with free resources, not of
-//! tasks times machines.
+//! Identical tasks are placed together: the cost grows with the number of jobs and of machines with free
+//! resources, not with tasks times machines.
 
 mod attempt;
 mod backfill;
@@ -40,7 +40,7 @@
         draining::drain_machines(input, &mut schedule.changes);
     }
     let mut queue = queue::collect(input, &quotas);
-    // A run for services alone has nobody whom these reservations would help.
+    // A run for services only places no tasks to which these reservations apply.
     if input.place_deadline_steps {
         gang_reservation::reserve_for_gangs(input, &mut quotas);
     }
@@ -49,7 +49,7 @@
     }
     queue::sort(&mut queue);
     if queue.is_empty() && !input.forecast {
-        // Nothing waits for a machine: none has to be looked at.
+        // No task waits for a machine, so no machine needs to be examined.
         return schedule;
     }
     let mut scheduler = Scheduler::new(input, quotas, gpu_demand, &queue, schedule);
--- a/src/scheduling/pending_reason.rs
+++ b/src/scheduling/pending_reason.rs
@@ -1,4 +1,4 @@
-//! Why a job is pending. Pure, from the cluster state and a schedule over all machines.
+//! Reasons for pending jobs. Pure functions of the cluster state and of a schedule over all machines.
 
 use super::Schedule;
 use crate::jobs::model::JobId;
@@ -7,34 +7,34 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Why tasks of a job are pending; of several reasons the first that has to be resolved.
+/// Reason why tasks of a job are pending. If several apply, the one that must be resolved first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PendingReason {
-    /// Jobs that it depends on are not done.
+    /// A job that it depends on is not done.
     #[serde(rename = "needs")]
     Dependency,
-    /// Tasks of its last attempt are still on their machines: a gang starts as a whole.
+    /// Tasks of the gang's last attempt are still on their machines: all its tasks start together.
     LastAttempt,
-    /// Its tasks failed recently and are in back-off.
+    /// Its tasks failed recently and the job is in back-off.
     #[serde(rename = "failed")]
     Backoff,
-    /// Its team's quota.
+    /// Its team's quota is exhausted.
     #[serde(rename = "limit")]
     TeamLimit,
     /// No machine that it may use has enough free resources.
     #[serde(rename = "room")]
     NoCapacity,
-    /// They are about to be placed, in the order of the queue.
+    /// Its tasks are about to be placed, in queue order.
     #[serde(rename = "turn")]
     QueueOrder,
-    /// None waits for a machine: they fetch their image, or run.
+    /// No task waits for a machine: the tasks are fetching their image or running.
     #[serde(rename = "image")]
     ImageFetch,
 }
 
-/// Why a job waits, with how many tasks; `None` if none of its tasks does. `fetching` tasks are on
-/// machines that fetch the image.
+/// Returns the reason for which a job is pending, and the number of tasks that it applies to; `None` if no
+/// task is pending. `fetching` is the number of tasks on machines that are fetching the image.
 pub fn pending_reason(
     schedule: &Schedule,
     id: &JobId,
@@ -68,10 +68,10 @@
     })
 }
 
-/// Why a job waits, and with how many tasks.
+/// Reason for which a job is pending and the number of its tasks; `None` if no task is pending.
 pub type Reason = Option<(PendingReason, u32)>;
 
-/// By team and reason: how many jobs and tasks wait, and how long the oldest has, in seconds.
+/// Number of pending jobs and tasks and age in seconds of the oldest job, by team and reason.
 pub type PendingCounts<'a> = BTreeMap<&'a str, BTreeMap<PendingReason, (u32, u64, f64)>>;
 
 /// Counts pending jobs and tasks by team and reason.
