--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: stops tasks of lower priority on one machine so that a waiting task fits there.
+//! Preemption: stops tasks of lower priority on a machine so that a waiting task fits there.
 
 use super::attempt::PlacementAttempt;
 use super::bin_packing::CandidateMachines;
@@ -10,22 +10,22 @@
 use crate::time::{Micros, SECOND};
 use crate::wire::user::{JobKind, Priority};
 
-/// A job's own owner preempts for it at once; others only after this long, in case the owner has nothing
-/// to preempt.
+/// Waiting time after which a controller preempts tasks for a job that it does not own. The job's owner
+/// preempts immediately; the others follow in case the owner has nothing to preempt.
 pub(super) const NON_OWNER_PREEMPTION_DELAY: Micros = 5 * SECOND;
 
-/// Which machines count for preemption.
+/// Machines that are considered for preemption.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ImageRequirement {
-    /// Only those that have cached the job's image.
+    /// Only machines that have cached the job's image.
     Cached,
-    /// All.
+    /// All machines.
     Any,
 }
 
 /// A task that may be preempted.
 struct PreemptibleTask {
-    /// Lower is preempted first.
+    /// Tasks with lower cost are preempted first.
     cost: i64,
     job: JobId,
     index: u32,
@@ -33,18 +33,18 @@
     resources: Resources,
 }
 
-/// What can be preempted on a machine; found out when first asked for.
+/// Tasks that may be preempted on a machine, computed on first use.
 pub(super) struct PreemptibleTasks {
-    /// Resources of tasks that are stopping already.
+    /// Resources of tasks that are already stopping.
     stopping: Resources,
-    /// Resources of all tasks of the list.
+    /// Resources of all tasks in `tasks`.
     total: Resources,
-    /// Cheapest first.
+    /// Preemptible tasks, lowest cost first.
     tasks: Vec<PreemptibleTask>,
 }
 
 impl PreemptibleTasks {
-    /// What a job may preempt on a machine.
+    /// Returns the tasks that a job may preempt on a machine.
     fn on(view: &ClusterState, spec: &JobSpec, candidate: &CandidateMachine<'_>) -> Self {
         let mut found = PreemptibleTasks {
             stopping: Resources::default(),
@@ -77,23 +77,25 @@
     }
 }
 
-/// Jobs that save checkpoints lose least, then those of the lowest priority.
+/// Returns the cost of preempting a task. Jobs that save checkpoints cost least, because they lose the
+/// least work; among equals, jobs of the lowest priority cost less.
 fn preemption_cost(spec: &JobSpec) -> i64 {
     i64::from(spec.checkpoint_interval == 0) * 2 + i64::from(spec.priority == Priority::Normal)
 }
 
-/// Where one more task could go.
+/// Way in which one more task could fit on a machine.
 enum PreemptionOption {
-    /// It fits once tasks that are stopping already have left.
+    /// It fits once tasks that are already stopping have ended.
     FitsAfterStops,
-    /// It fits once the first so many preemptible tasks are stopped.
+    /// It fits once the first `tasks` preemptible tasks are stopped.
     Stop { cost: i64, tasks: usize },
-    /// It never fits.
+    /// It does not fit even with preemption.
     None,
 }
 
-/// Preempts tasks on one machine, the cheapest choice of all, so that one more task fits there. Returns
-/// false if there is none.
+/// Preempts tasks on the machine where this costs least, so that one more task fits there. If the task fits
+/// on a machine after stops that are already in progress, that machine is used and nothing is preempted.
+/// Returns false if there is no such machine.
 pub(super) fn preempt_for_one_task(
     view: &ClusterState,
     attempt: &PlacementAttempt<'_>,
@@ -167,7 +169,7 @@
         if available.fits(&spec.resources) {
             break;
         }
-        // The list may be that of a job of higher priority: this one may not preempt all of it.
+        // The list may have been computed for a job of higher priority; this job may not preempt all of it.
         let job = view.jobs.get(&task.job);
         if job.is_none_or(|job| job.spec.priority <= spec.priority) {
             break;
@@ -182,8 +184,8 @@
     }
 }
 
-/// Stops the cheapest tasks of a machine, without a grace period: a service waits for their resources, and
-/// checkpoints are kept anyway.
+/// Stops the tasks of a machine that have the lowest cost, without a grace period: a service waits for their
+/// resources, and saved checkpoints are kept.
 fn stop_tasks(candidate: &mut CandidateMachine<'_>, count: usize, changes: &mut Vec<JobChange>) {
     let Some(preemptible) = &mut candidate.preemptible else {
         return;
--- a/src/scheduling/queue.rs
+++ b/src/scheduling/queue.rs
@@ -1,5 +1,5 @@
-//! The order in which waiting tasks are tried. An entry stands for equal tasks of one job; a job has
-//! several entries where some of its tasks go before the others (boosts, minimum share, first start).
+//! Queue order of waiting tasks. An entry represents identical tasks of one job. A job has several entries
+//! if some of its tasks come before the others (priority boost, minimum share, first start).
 
 use super::SchedulingInput;
 use super::preemption::NON_OWNER_PREEMPTION_DELAY;
@@ -13,45 +13,47 @@
 use crate::wire::user::{JobKind, Priority};
 use std::cmp::Ordering;
 
-/// One task of an array of which none was ever started goes before its equals after this long. With the
-/// least work first, the largest job of a class would come last for as long as smaller ones arrive. Not
-/// gangs: with the oldest of these first, small ones would wait behind large ones that fit nowhere.
+/// Waiting time after which one task of an array of which no task was ever started comes before others of
+/// equal priority. In order of least work first, the largest job of a class would stay last for as long as
+/// smaller jobs arrive. Gangs are excluded: with the oldest gang first, small gangs would wait behind large
+/// ones that do not fit on any machines.
 const FIRST_START_DELAY: Micros = 120 * SECOND;
 
-/// Position among jobs of equal priority; smaller goes first.
+/// Position among jobs of equal priority; lower comes first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuePosition {
-    /// No objective of its class can be met any more.
+    /// Whether no objective of the job's class can still be met.
     objective_missed: bool,
-    /// Work that waits, or the latest start of a pipeline step.
+    /// Amount of waiting work, or the latest start time of a pipeline step.
     sort_key: u64,
 }
 
-/// Some waiting tasks of a job.
+/// Waiting tasks of a job that are tried together.
 #[derive(Clone, Copy)]
 pub(super) struct QueueEntry<'a> {
     pub(super) id: &'a JobId,
     pub(super) job: &'a Job,
-    /// Size of the priority boost; 0 for none.
+    /// Level of the priority boost; 0 for none.
     pub(super) boost_level: u32,
-    /// Waiting tasks of the job that earlier entries stand for.
+    /// Number of the job's waiting tasks that precede this entry's tasks and belong to other entries.
     pub(super) waiting_offset: usize,
-    /// Number of tasks.
+    /// Number of tasks in this entry.
     pub(super) count: usize,
-    /// All of its team's unfinished jobs fit into the team's guarantee.
+    /// Whether all unfinished jobs of the team together fit into its guarantee.
     pub(super) entitled: bool,
-    /// Owned by the scheduling controller; gangs are by whoever places them.
+    /// Whether this controller owns the job; always true for gangs, which only the controller that places
+    /// gangs has in its queue.
     pub(super) owned: bool,
     pub(super) priority: Priority,
     pub(super) position: QueuePosition,
-    /// Goes before other arrays because of the minimum share of its class.
+    /// Whether it comes before other arrays because of the minimum share of its class.
     pub(super) minimum_share: bool,
-    /// Goes before its equals so that its job makes a first start.
+    /// Whether it comes before others of equal priority so that the first task of its job starts.
     pub(super) first_start: bool,
 }
 
 impl<'a> QueueEntry<'a> {
-    /// What these tasks are to their team's quota.
+    /// Returns the category of these tasks for their team's quota.
     pub(super) fn quota_verdict(&self) -> QuotaVerdict<'a> {
         match self.job.spec.kind {
             JobKind::Gang => QuotaVerdict::Gang(self.id),
@@ -61,7 +63,8 @@
         }
     }
 
-    /// An array that is no step of a pipeline with a deadline: written after all others.
+    /// Returns whether the job is an array and not a step of a pipeline with a deadline. Changes of such jobs
+    /// are written after all others.
     pub(super) fn is_array_without_deadline(&self) -> bool {
         self.job.spec.kind == JobKind::Array && !self.job.is_deadline_step()
     }
@@ -83,7 +86,7 @@
             .then(self.id.cmp(other.id))
     }
 
-    /// Among jobs that should make a first start the oldest goes first.
+    /// Orders jobs whose first task should start by age, oldest first.
     fn first_start_order(&self, other: &QueueEntry<'_>) -> Ordering {
         if self.first_start && other.first_start {
             self.job.waiting_since.cmp(&other.job.waiting_since)
@@ -93,17 +96,17 @@
     }
 }
 
-/// Puts the entries into the order in which they are tried.
+/// Sorts the entries into the order in which they are tried.
 pub(super) fn sort(queue: &mut [QueueEntry<'_>]) {
     queue.sort_by(|a, b| a.queue_order(b));
 }
 
-/// Whether a run looks at all waiting jobs; else at services alone.
+/// Returns whether a run considers all waiting jobs; otherwise it considers services only.
 pub(super) fn includes_all_kinds(input: &SchedulingInput<'_>) -> bool {
     input.forecast || input.place_arrays || input.place_deadline_steps
 }
 
-/// Entries of all jobs that are scheduled in this run, not sorted yet.
+/// Returns the entries of all jobs that are scheduled in this run, unsorted.
 pub(super) fn collect<'a>(
     input: &SchedulingInput<'a>,
     quotas: &QuotaLedger<'a>,
@@ -137,7 +140,7 @@
     queued > 0 && included && (input.forecast || !(input.in_backoff)(id))
 }
 
-/// Splits a job's waiting tasks into one to make a first start, boosted ones and the others.
+/// Splits a job's waiting tasks into one for a first start, boosted tasks and the rest.
 fn push_entries<'a>(
     input: &SchedulingInput<'a>,
     quotas: &QuotaLedger<'a>,
@@ -183,11 +186,11 @@
     }
 }
 
-/// Priority of a job, and its position among jobs of that priority which boosts do not tell apart: those
-/// that can still meet an objective of their class before those that cannot, and of the former the least
-/// work first. Steps of a pipeline with a deadline have the highest priority of those that depend on
-/// them and go by slack, least first. Once no objective of the pipeline can be met any more, each step
-/// is a job of its own class again.
+/// Returns the priority of a job and its position among jobs of equal priority and boost. Jobs that can
+/// still meet an objective of their class come before those that cannot, and among the former the least
+/// work comes first. A step of a pipeline with a deadline has the highest of its own and its dependents'
+/// priorities; such steps are ordered by slack, least first. Once no objective of the pipeline can still be
+/// met, each step is treated as an ordinary job of its class.
 fn priority_and_position(input: &SchedulingInput<'_>, job: &Job) -> (Priority, QueuePosition) {
     if let Some(sort_key) = latest_start_in_pipeline(input, job) {
         let position = QueuePosition {
@@ -221,12 +224,12 @@
     (spec.priority, position)
 }
 
-/// The latest start that still meets the deadline of a job's pipeline; `None` if the job is in none, or
-/// if no objective of the pipeline can be met any more.
+/// Returns the latest start time that still meets the deadline of a job's pipeline; `None` if the job is not
+/// in a pipeline with a deadline, or if no objective of the pipeline can still be met.
 fn latest_start_in_pipeline(input: &SchedulingInput<'_>, job: &Job) -> Option<Micros> {
     let deadline = job.deadline_at.filter(|_| job.in_pipeline)?;
     let run_time = job.spec.estimated_run_time;
-    // Objectives of deadlines are in thousandths of the time from submission to the deadline.
+    // Deadline objectives are in thousandths of the time from submission to the deadline.
     let thousandths = input
         .objectives
         .iter()
@@ -240,8 +243,8 @@
         .then(|| deadline.saturating_sub(run_time))
 }
 
-/// Whether an array has waited so long that it should make a first start. Its owner does this before
-/// others do, else all controllers would place the same task.
+/// Returns whether an array has waited long enough that its first task should start. The job's owner does
+/// this earlier than other controllers; otherwise all of them would place the same task.
 fn should_make_first_start(input: &SchedulingInput<'_>, job: &Job, owned: bool) -> bool {
     let age = input.wall_clock.saturating_sub(job.waiting_since);
     let delay = match owned {
--- a/src/scheduling/scheduler.rs
+++ b/src/scheduling/scheduler.rs
@@ -1,5 +1,5 @@
-//! One scheduling run: goes through the queue and places, preempts, reserves and records. It owns all
-//! state of the run, which ends with it.
+//! A scheduling run: iterates over the queue, places tasks, preempts, reserves machines and records the
+//! result. It owns all state of the run.
 
 use super::attempt::{Assignment, PlacementAttempt};
 use super::backfill::{GpuDemand, has_cpu_only_types};
@@ -16,51 +16,51 @@
 use crate::wire::user::{JobKind, Priority};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 
-/// State of a run.
+/// State of a scheduling run.
 pub(super) struct Scheduler<'i, 'a> {
     input: &'i SchedulingInput<'a>,
     quotas: QuotaLedger<'a>,
     gpu_demand: GpuDemand,
     machines: CandidateSource<'i, 'a>,
     candidates: CandidateMachines<'a>,
-    /// All schedulable machines are candidates, not only those with free resources.
+    /// Whether all schedulable machines are candidates, not only those with free resources.
     all_machines_listed: bool,
-    /// The oldest gang without machines holds the free ones.
+    /// Whether free machines are reserved for a gang that could not be placed; one gang per run.
     machines_reserved_for_gang: bool,
-    /// Task shapes for which no machine has free resources: these only become less.
+    /// Task shapes for which no machine has free resources. Free resources only decrease during a run.
     shapes_without_machine: HashSet<TaskShape<'a>>,
-    /// Shapes and priorities that find nothing to preempt.
+    /// Shapes and priorities for which nothing is left to preempt.
     preemption_exhausted: HashSet<(TaskShape<'a>, Priority)>,
-    /// Where jobs with a zone constraint have their tasks, with those placed in this run: such a job may
-    /// have several entries, and its constraint is for all of them together.
+    /// Number of tasks in each zone for jobs with a zone constraint, including tasks placed in this run:
+    /// such a job may have several entries, and the constraint applies to all of them together.
     tasks_by_zone: HashMap<&'a JobId, TasksByZone<'a>>,
-    /// Jobs with something to write that are no plain arrays.
+    /// Number of jobs with changes to write, except arrays without a deadline.
     prioritized_writes: usize,
-    /// Plain arrays with something to write: written after all others, so that they never use up writes
-    /// that those could have.
+    /// Number of arrays without a deadline that have changes to write. They are written after all others, so
+    /// that they never use writes that other jobs need.
     deferred_writes: usize,
     schedule: Schedule,
 }
 
-/// What became of an entry's tasks.
+/// Result of placing an entry's tasks.
 struct EntryOutcome {
     assignments: Vec<Assignment>,
-    /// Tasks without a machine.
+    /// Number of tasks without a machine.
     unplaced: u32,
 }
 
-/// Whether to go on with the queue.
+/// Whether further entries can be written.
 #[derive(PartialEq, Eq)]
 enum WriteBudget {
     Available,
-    /// Nothing more of this entry's group can be written.
-    GroupExhausted,
-    /// Nothing more can be written.
+    /// No more arrays without a deadline can be written.
+    DeferredWritesExhausted,
+    /// No more jobs can be written.
     Exhausted,
 }
 
 impl<'i, 'a> Scheduler<'i, 'a> {
-    /// A run over this queue, with the changes that were decided before it.
+    /// Creates a run over a queue. `schedule` holds the changes that were decided before.
     pub(super) fn new(
         input: &'i SchedulingInput<'a>,
         quotas: QuotaLedger<'a>,
@@ -68,8 +68,8 @@
         queue: &[QueueEntry<'a>],
         schedule: Schedule,
     ) -> Scheduler<'i, 'a> {
-        // Gangs may ask backfill tasks to leave, and the forecast reports every machine; else those with
-        // free resources are enough until something has to be preempted.
+        // Gangs may stop backfill tasks, and a forecast reports every machine. Otherwise machines with free
+        // resources suffice until tasks must be preempted.
         let all_machines_listed = input.forecast
             || queue
                 .iter()
@@ -96,18 +96,18 @@
         }
     }
 
-    /// Goes through the queue as far as the result can be written.
+    /// Places the entries of a queue in order, as far as the result can be written.
     pub(super) fn place_all(&mut self, queue: &[QueueEntry<'a>]) {
         for entry in queue {
             match self.write_budget(entry) {
                 WriteBudget::Available => self.place_entry(entry),
-                WriteBudget::GroupExhausted => {}
+                WriteBudget::DeferredWritesExhausted => {}
                 WriteBudget::Exhausted => break,
             }
         }
     }
 
-    /// The result; a forecast also reports what is left on each machine.
+    /// Returns the result; a forecast also reports the free resources that remain on each machine.
     pub(super) fn finish(mut self) -> Schedule {
         if self.input.forecast {
             let machines = self.candidates.list.iter();
@@ -123,7 +123,7 @@
             Some(limit)
                 if entry.is_array_without_deadline() && self.deferred_writes >= limit.jobs =>
             {
-                WriteBudget::GroupExhausted
+                WriteBudget::DeferredWritesExhausted
             }
             _ => WriteBudget::Available,
         }
@@ -135,7 +135,7 @@
         let count = entry.count as u32;
         let permitted = u32::try_from(headroom).unwrap_or(u32::MAX).min(count);
         if permitted < count {
-            // What a quota holds back waits for no machine.
+            // Tasks held back by a quota do not wait for a machine.
             let limited = &mut self.schedule.limited_by_quota;
             *limited.entry(entry.id.clone()).or_default() += count - permitted;
         }
@@ -154,10 +154,10 @@
         }
     }
 
-    /// Places a whole gang; `None` if it is not tried.
+    /// Places a whole gang; `None` if no placement is attempted.
     fn place_gang(&mut self, entry: &QueueEntry<'a>, permitted: u32) -> Option<EntryOutcome> {
         let (job, spec) = (entry.job, &entry.job.spec);
-        // While part of the last attempt is still on its machines, nothing starts.
+        // No task starts while tasks of the last attempt are still on their machines.
         if job.waiting != spec.task_count {
             return None;
         }
@@ -195,7 +195,7 @@
         })
     }
 
-    /// Places tasks of an array or a service, and preempts for those without a machine if they may.
+    /// Places tasks of an array or a service. For tasks without a machine, others are preempted if allowed.
     fn place_tasks(&mut self, entry: &QueueEntry<'a>, permitted: u32) -> EntryOutcome {
         let shape = TaskShape::of(&entry.job.spec);
         let zone_constrained = has_zone_constraint(&entry.job.spec);
@@ -236,7 +236,7 @@
         }
     }
 
-    /// Whether tasks of lower priority may be preempted for an entry.
+    /// Returns whether tasks of lower priority may be preempted for an entry.
     fn may_preempt(&self, entry: &QueueEntry<'a>) -> bool {
         let age = self
             .input
@@ -247,8 +247,9 @@
             && (entry.job.spec.priority <= Priority::High || entry.entitled)
     }
 
-    /// Whether it is known that nothing is free for these tasks and nothing can be preempted. An owned
-    /// service may also go to machines of other owners, which those before it could not.
+    /// Returns whether earlier entries showed that no machine has free resources for these tasks and that
+    /// nothing can be preempted. Not for an owned service: it may also run on machines of other owners, which
+    /// earlier entries of its shape may have been unable to use.
     fn cannot_be_placed(
         &self,
         entry: &QueueEntry<'a>,
@@ -262,9 +263,9 @@
             && (!may_preempt || self.preemption_exhausted.contains(&(shape, spec.priority)))
     }
 
-    /// Places tasks without a zone constraint on the best machines and returns how many remain. A service
-    /// starts sooner where others are preempted on a machine that has its image than where the image has
-    /// to be fetched first.
+    /// Places tasks without a zone constraint on the best machines and returns the number that remain. A
+    /// service starts sooner if tasks are preempted on a machine that has its image cached than on a free
+    /// machine that must fetch the image first.
     fn place_on_best_machines(
         &mut self,
         attempt: &mut PlacementAttempt<'a>,
@@ -293,7 +294,8 @@
         remaining - attempt.fill(&mut self.candidates, uncached, remaining)
     }
 
-    /// Preempts for up to `count` tasks, one after another, and returns for how many it could not.
+    /// Preempts for up to `count` tasks, one at a time, and returns the number of tasks for which nothing could
+    /// be preempted.
     fn preempt_for_tasks(
         &mut self,
         attempt: &PlacementAttempt<'a>,
@@ -315,7 +317,7 @@
         remaining
     }
 
-    /// Adds the machines without free resources: they count only for preemption.
+    /// Adds the machines without free resources; they are needed only for preemption.
     fn add_all_machines(&mut self) {
         if !std::mem::replace(&mut self.all_machines_listed, true) {
             self.machines.add_missing(&mut self.candidates.list);
@@ -328,7 +330,7 @@
             unplaced,
         } = outcome;
         let input = self.input;
-        // In the forecast tasks without a machine will have one: the quota is for all of them together.
+        // A forecast assumes that tasks without a machine will get one, so these count towards the quota, too.
         let expected = if input.forecast { unplaced } else { 0 };
         let started = assignments.len() as i64 + i64::from(expected);
         self.quotas
--- a/src/scheduling/starvation.rs
+++ b/src/scheduling/starvation.rs
@@ -1,4 +1,4 @@
-//! Starvation protection: the longest waiting tasks of starved classes go before other arrays, within the
+//! Starvation protection: the longest-waiting tasks of starved classes come before other arrays, up to the
 //! minimum share of their class (`fairness::minimum_share`). Changes the queue and the quota ledger.
 
 use super::SchedulingInput;
@@ -10,15 +10,15 @@
 use foldhash::HashSet;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where classes are compared with each other.
+/// A job class within the scope in which classes are compared.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ClassKey<'a> {
-    /// A team whose limit binds; `None` for all others together.
+    /// A team whose limit keeps work waiting; `None` for all other teams together.
     scope: Option<&'a str>,
     class: &'a str,
 }
 
-/// The teams whose limit binds.
+/// Teams whose limit keeps work waiting; each is a separate scope.
 struct Scopes<'a>(HashSet<&'a str>);
 
 impl<'a> Scopes<'a> {
@@ -30,13 +30,13 @@
     }
 }
 
-/// Raises tasks of starved classes. Services and jobs of high priority stay before them.
+/// Raises the priority of tasks of starved classes. Services and jobs of high priority still come first.
 pub(super) fn protect_starved_classes<'a>(
     input: &SchedulingInput<'a>,
     quotas: &mut QuotaLedger<'a>,
     queue: &mut Vec<QueueEntry<'a>>,
 ) {
-    // Also others' jobs: what a team's limit reserves for a class, all controllers reserve.
+    // Includes other owners' jobs: every controller reserves the minimum share of a class in a team's limit.
     if !input
         .view
         .waiting()
@@ -60,7 +60,7 @@
         > minimum_share::overdue_after(input.objectives, &job.spec.class)
 }
 
-/// Whether a job is an overdue array of low priority.
+/// Returns whether a job is an overdue array of low priority with waiting tasks.
 fn may_be_starved(input: &SchedulingInput<'_>, job: &Job) -> bool {
     job.spec.priority > Priority::Normal
         && is_active_array(job)
@@ -68,7 +68,7 @@
         && is_overdue(input, job)
 }
 
-/// What the arrays of each class run and wait for.
+/// Returns the resources of the running and waiting array tasks of each class.
 fn class_demands<'a>(
     input: &SchedulingInput<'a>,
     scopes: &Scopes<'a>,
@@ -94,16 +94,16 @@
     demands
 }
 
-/// The CPUs of each class's minimum share that this controller hands out; of a team's limit the whole
-/// share is reserved.
+/// Returns this controller's part of each class's minimum share, in thousandths of CPUs. In the quota of a
+/// team the whole share is reserved.
 fn minimum_shares<'a>(
     input: &SchedulingInput<'a>,
     demands: &BTreeMap<ClassKey<'a>, ClassDemand>,
     quotas: &mut QuotaLedger<'a>,
 ) -> BTreeMap<ClassKey<'a>, i64> {
-    // Each controller raises its part, its own jobs first, so that together they take the share once.
-    // Whoever has a machine with free resources places them; where a task needs a whole machine that is
-    // seldom its owner.
+    // Each controller prioritizes its part of the share, starting with the jobs that it owns, so that all
+    // controllers together use the share once. A task is placed by any controller that has a machine with
+    // free resources; if the task needs a whole machine, that is rarely the job's owner.
     let controllers = match input.forecast {
         true => 1,
         false => input.view.members.len().max(1) as i64,
@@ -124,7 +124,8 @@
     shares
 }
 
-/// Raises entries, own and oldest first, as far as the shares go; an entry that exceeds its share is split.
+/// Raises the priority of entries up to the shares, owned and oldest jobs first. An entry that exceeds the
+/// remaining share is split.
 fn prioritize_entries<'a>(
     input: &SchedulingInput<'a>,
     scopes: &Scopes<'a>,
@@ -149,7 +150,7 @@
             continue;
         };
         let cpus_per_task = entry.job.spec.resources.cpus.max(1);
-        // Rounded up: one task also where the share is smaller than a task.
+        // Rounded up, so that one task is raised even if the remaining share is smaller than a task.
         let tasks = (*remaining_cpus + cpus_per_task - 1)
             .div_euclid(cpus_per_task)
             .clamp(0, entry.count as i64);
--- a/src/scheduling/zones.rs
+++ b/src/scheduling/zones.rs
@@ -1,18 +1,19 @@
-//! Zone constraints of a job: all tasks in one zone, or at most half of them in any one. Pure.
+//! Zone constraints of a job: all tasks in a single zone, or at most half of them in each zone. Pure
+//! functions.
 
 use crate::jobs::model::JobSpec;
 use crate::store::cluster_state::{ClusterState, Job};
 use foldhash::{HashMap, HashMapExt};
 
-/// Number of a job's tasks in each zone.
+/// Number of a job's tasks, by zone.
 pub(super) type TasksByZone<'a> = HashMap<&'a str, u32>;
 
-/// Whether it matters to a job in which zones its tasks are.
+/// Returns whether a job has a zone constraint.
 pub(super) fn has_zone_constraint(spec: &JobSpec) -> bool {
     spec.single_zone || spec.zone_spread
 }
 
-/// The most tasks that a job with `zone_spread` may have in one zone.
+/// Returns the maximum number of tasks that a job with `zone_spread` may have in one zone.
 pub(super) fn max_tasks_per_zone(spec: &JobSpec) -> u32 {
     spec.task_count.div_ceil(2)
 }
@@ -30,7 +31,7 @@
     counts
 }
 
-/// Whether one more task of a job may go to a zone.
+/// Returns whether one more task of a job may be placed in a zone.
 pub(super) fn zone_allowed(spec: &JobSpec, counts: &TasksByZone<'_>, zone: &str) -> bool {
     if spec.single_zone && counts.keys().any(|other| *other != zone) {
         return false;
@@ -38,7 +39,7 @@
     !(spec.zone_spread && counts.get(zone).copied().unwrap_or(0) >= max_tasks_per_zone(spec))
 }
 
-/// Keeps the zones to which one more task of a job may go, given where its other tasks are.
+/// Retains the zones in which one more task of a job may be placed, given the zones of its other tasks.
 pub fn retain_open_zones(view: &ClusterState, job: &Job, zones: &mut Vec<&str>) {
     let spec = &job.spec;
     let counts = tasks_by_zone(view, job);
