--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -1,5 +1,5 @@
-//! Backfill: tasks without GPUs on machines with GPUs. They get what GPU work leaves, and leave when a
-//! gang needs their resources. Pure.
+//! Backfill: tasks without GPUs on machines with GPUs. They use the resources that GPU tasks leave free
+//! and are preempted when a gang needs them. Pure functions.
 
 use super::machines::CandidateMachine;
 use crate::autoscaler::model::MachineRecord;
@@ -8,18 +8,20 @@
 use crate::jobs::model::{JobSpec, Resources};
 use crate::store::cluster_state::ClusterState;
 
-/// What GPU work needs of a machine with GPUs: kept free from all other tasks.
+/// Demand of GPU tasks, for which resources are reserved on machines with GPUs.
 #[derive(Clone, Copy)]
 pub(super) struct GpuDemand {
-    /// The most that any task with GPUs takes, by resource.
+    /// Maximum over all GPU tasks, for each resource separately.
     largest_task: Resources,
-    /// Whether such a task waits; only then is anything kept free.
-    waiting: bool,
+    /// Whether a GPU task is waiting. If there are machine types without GPUs, resources are reserved
+    /// only then.
+    gpu_task_waiting: bool,
 }
 
 impl GpuDemand {
-    /// `all_kinds`: whether this run looks at all waiting jobs. A run for services alone has only these
-    /// to look at, and offers nobody else what GPU work leaves.
+    /// Computes the demand. `all_kinds` is whether this run considers all waiting jobs. A run that is
+    /// restricted to services reads no other jobs, so it offers the resources that GPU tasks leave
+    /// free to none of them.
     pub(super) fn of(view: &ClusterState, all_kinds: bool) -> GpuDemand {
         let mut largest_task = Resources::default();
         for [cpus, gpus, memory] in view.indexes().gpu_task_sizes.keys() {
@@ -30,56 +32,56 @@
             };
         }
         let mut waiting_jobs = view.waiting();
-        let waiting = all_kinds
+        let gpu_task_waiting = all_kinds
             && waiting_jobs.any(|(_, job)| job.spec.resources.gpus > 0 && job.queued() > 0);
         GpuDemand {
             largest_task,
-            waiting,
+            gpu_task_waiting,
         }
     }
 
-    /// The free resources of a machine that a job may use.
+    /// Returns the free resources of a machine that a job may use.
     pub(super) fn offered_resources(
         &self,
         spec: &JobSpec,
         candidate: &CandidateMachine<'_>,
     ) -> Resources {
         let machine_gpus = candidate.capacity.gpus;
-        let others_exist = candidate.gpuless_types_exist;
+        let has_cpu_only_types = candidate.has_cpu_only_types;
         if spec.resources.gpus > 0
             || machine_gpus == 0
-            || !others_exist && self.largest_task.gpus == 0
+            || !has_cpu_only_types && self.largest_task.gpus == 0
         {
             return candidate.free;
         }
-        if others_exist && !spec.backfill() {
+        if has_cpu_only_types && !spec.backfill() {
             return Resources::default();
         }
-        if others_exist && !self.waiting {
+        if has_cpu_only_types && !self.gpu_task_waiting {
             return candidate.free;
         }
         let gpus_per_task = self.largest_task.gpus.max(1);
         let gpu_tasks = (machine_gpus / gpus_per_task).max(1);
-        // The resources of GPU tasks that run here are taken already.
-        let kept_for = gpu_tasks - (machine_gpus - candidate.free.gpus) / gpus_per_task;
+        // The resources of GPU tasks that already run here are not in `free`.
+        let reserved_tasks = gpu_tasks - (machine_gpus - candidate.free.gpus) / gpus_per_task;
         let mut offered = candidate.free;
-        if kept_for > 0 {
+        if reserved_tasks > 0 {
             offered.subtract(&Resources {
-                cpus: self.largest_task.cpus * kept_for,
+                cpus: self.largest_task.cpus * reserved_tasks,
                 gpus: 0,
-                memory: self.largest_task.memory * kept_for,
+                memory: self.largest_task.memory * reserved_tasks,
             });
         }
         offered
     }
 }
 
-/// Whether there are machine types without GPUs.
-pub(super) fn gpuless_types_exist(view: &ClusterState) -> bool {
+/// Returns whether there are machine types without GPUs.
+pub(super) fn has_cpu_only_types(view: &ClusterState) -> bool {
     view.machine_types.values().any(|t| t.gpus == 0.0)
 }
 
-/// Whether a machine runs nothing but backfill tasks.
+/// Returns whether a machine runs only backfill tasks, or no tasks at all.
 pub fn backfill_only(view: &ClusterState, id: &MachineId, machine: &MachineRecord) -> bool {
     view.tasks_on(id).is_none_or(|tasks| {
         view.usage(id).backfills as usize == tasks.len()
@@ -87,15 +89,15 @@
                 .machine_types
                 .get(&machine.machine_type)
                 .is_some_and(|t| t.gpus > 0.0)
-            && gpuless_types_exist(view)
+            && has_cpu_only_types(view)
     })
 }
 
-/// Backfill tasks on one machine.
+/// The backfill tasks on one machine.
 pub(super) struct BackfillTasks {
-    /// What all of them take.
+    /// Total resources of the tasks.
     pub(super) resources: Resources,
-    /// Stops of those that have not been asked to leave yet.
+    /// Stop changes for the tasks that are not stopping yet.
     pub(super) stops: Vec<JobChange>,
 }
 
--- a/src/scheduling/gang.rs
+++ b/src/scheduling/gang.rs
@@ -1,45 +1,46 @@
-//! Gang scheduling: machines for all tasks of a gang, or for none. Where backfill tasks use some of them,
-//! these are asked to save and leave, and the gang waits for that.
+//! Gang scheduling: places all tasks of a gang or none. Where backfill tasks occupy the machines, they
+//! are stopped with time to save a checkpoint, and the gang waits until they have left.
 
 use super::attempt::Assignment;
 use super::backfill::{BackfillTasks, GpuDemand};
 use super::bin_packing::{CandidateMachines, Score, score};
 use super::machines::{machine_allowed, may_use_spot};
-use super::zones::{TasksByZone, most_per_zone};
+use super::zones::{TasksByZone, max_tasks_per_zone};
 use crate::jobs::commit::JobChange;
 use crate::jobs::model::{JobSpec, Resources};
 use crate::store::cluster_state::{ClusterState, Job};
 use crate::time::{Micros, SECOND};
 use foldhash::{HashMap, HashMapExt};
 
-/// A gang that has waited this long keeps free machines from younger ones.
-pub(super) const GANG_RESERVATION_AGE: Micros = 40 * SECOND;
+/// Waiting time after which free machines are reserved for a gang, so that later gangs in the queue do not
+/// get them.
+pub(super) const GANG_RESERVATION_DELAY: Micros = 40 * SECOND;
 
-/// Added where a machine fits once backfill tasks that are stopping already have left.
-const PENALTY_WAIT_FOR_BACKFILL: i64 = 16;
-/// Added to that where some would have to be stopped first.
-const PENALTY_STOP_BACKFILL: i64 = 16;
+/// Added if a task fits only once backfill tasks that are already stopping have left.
+const WAIT_FOR_BACKFILL_PENALTY: i64 = 16;
+/// Added on top of that if some backfill tasks have not been stopped yet.
+const STOP_BACKFILL_PENALTY: i64 = 16;
 
-/// A machine for tasks of a gang.
+/// A machine on which tasks of a gang may be placed.
 struct GangMachine {
     score: Score,
-    /// Place in the list of candidates.
+    /// Index in the list of candidates.
     index: usize,
-    /// What it offers, once backfill tasks have left.
+    /// Resources that it offers once backfill tasks have left.
     resources: Resources,
 }
 
 /// Result of an attempt to place a gang.
 pub(super) enum GangPlacement {
-    /// All its tasks, with their machines.
+    /// All tasks of the gang, with their machines.
     Placed(Vec<Assignment>),
-    /// Its machines are taken; backfill tasks leave them first, by these changes.
+    /// Machines are allocated, but backfill tasks must leave them first; these changes stop them.
     WaitsForBackfill(Vec<JobChange>),
-    /// There are not enough machines.
+    /// Not enough machines.
     NoCapacity,
 }
 
-/// Places a gang. In a forecast backfill tasks need not have left.
+/// Places a gang. A forecast places it even if backfill tasks have not left yet.
 pub(super) fn place_gang(
     view: &ClusterState,
     job: &Job,
@@ -55,7 +56,7 @@
     let mut free_now = true;
     for index in &chosen {
         free_now &= candidates.list[*index].free.fits(&spec.resources);
-        candidates.take(*index, &spec.resources);
+        candidates.allocate(*index, &spec.resources);
     }
     if free_now || forecast {
         let assignments = chosen.iter().enumerate().map(|(task, index)| {
@@ -73,20 +74,21 @@
     GangPlacement::WaitsForBackfill(stops)
 }
 
-/// Takes the machines on which one task of a gang fits now, so that no younger gang gets them.
-pub(super) fn hold_free_machines(spec: &JobSpec, candidates: &mut CandidateMachines<'_>) {
+/// Allocates resources for one task on each machine on which a task of a gang fits now, so that no later
+/// gang in the queue gets these machines. Does nothing for gangs without GPUs.
+pub(super) fn reserve_free_machines(spec: &JobSpec, candidates: &mut CandidateMachines<'_>) {
     for index in 0..candidates.list.len() {
         let candidate = &candidates.list[index];
         if spec.resources.gpus > 0
             && machine_allowed(spec, candidate.machine)
             && candidate.free.fits(&spec.resources)
         {
-            candidates.take(index, &spec.resources);
+            candidates.allocate(index, &spec.resources);
         }
     }
 }
 
-/// Machines on which a task of a gang fits now, or once backfill tasks have left; best first.
+/// Returns the machines on which a task of a gang fits now or once backfill tasks have left, best first.
 fn rank_machines(
     view: &ClusterState,
     job: &Job,
@@ -105,7 +107,7 @@
         if !resources.fits(&spec.resources) {
             if spec.resources.gpus == 0
                 || candidate.free.gpus < spec.resources.gpus
-                || !candidate.gpuless_types_exist
+                || !candidate.has_cpu_only_types
             {
                 continue;
             }
@@ -117,9 +119,9 @@
             if !resources.fits(&spec.resources) {
                 continue;
             }
-            penalty = PENALTY_WAIT_FOR_BACKFILL;
+            penalty = WAIT_FOR_BACKFILL_PENALTY;
             if !backfill.stops.is_empty() {
-                penalty += PENALTY_STOP_BACKFILL;
+                penalty += STOP_BACKFILL_PENALTY;
             }
         }
         let mut score = score(spec, candidate, candidate.has_image(spec));
@@ -134,15 +136,15 @@
     machines
 }
 
-/// The machine of each task, as places in the list of candidates; `None` if there are not enough. A gang
-/// that needs a single zone tries the zones by name.
+/// Chooses a machine for each task and returns their indexes in the list of candidates; `None` if there
+/// are not enough machines. For a gang that needs a single zone the zones are tried in order of name.
 fn choose_machines(
     spec: &JobSpec,
     candidates: &CandidateMachines<'_>,
     machines: &[GangMachine],
 ) -> Option<Vec<usize>> {
     if !spec.single_zone {
-        return choose_in(spec, candidates, machines, None);
+        return choose_machines_in_zone(spec, candidates, machines, None);
     }
     let zone_of = |machine: &GangMachine| candidates.list[machine.index].machine.zone.as_str();
     let mut zones: Vec<&str> = machines.iter().map(zone_of).collect();
@@ -150,11 +152,11 @@
     zones.dedup();
     zones
         .into_iter()
-        .find_map(|zone| choose_in(spec, candidates, machines, Some(zone)))
+        .find_map(|zone| choose_machines_in_zone(spec, candidates, machines, Some(zone)))
 }
 
-/// The same within one zone, or in any.
-fn choose_in(
+/// Chooses machines within one zone, or in all zones if `only_zone` is `None`.
+fn choose_machines_in_zone(
     spec: &JobSpec,
     candidates: &CandidateMachines<'_>,
     machines: &[GangMachine],
@@ -173,7 +175,7 @@
                 break;
             }
             let in_zone = tasks_by_zone.entry(zone).or_default();
-            if spec.zone_spread && *in_zone >= most_per_zone(spec) {
+            if spec.zone_spread && *in_zone >= max_tasks_per_zone(spec) {
                 break;
             }
             *in_zone += 1;
--- a/src/scheduling/machines.rs
+++ b/src/scheduling/machines.rs
@@ -1,5 +1,5 @@
-//! Candidate machines of one scheduling run: which there are, what is free on them, which a job may use.
-//! A candidate belongs to the run; its free resources fall as tasks are placed.
+//! Candidate machines of one scheduling run: their selection, their free resources, and the rules on which
+//! of them a job may use. A candidate belongs to the run; its free resources decrease as tasks are placed.
 
 use super::SchedulingInput;
 use super::backfill::BackfillTasks;
@@ -12,43 +12,43 @@
 use crate::wire::user::JobKind;
 use foldhash::{HashMap, HashSet};
 
-/// Where more than one machine in so many has free resources, all are looked through in a row: that is
-/// cheaper than one look-up each.
-const SCAN_RATIO: usize = 4;
+/// All machines are scanned if more than one in `FULL_SCAN_RATIO` may have enough free CPUs: a scan is then
+/// cheaper than a look-up for each of these.
+const FULL_SCAN_RATIO: usize = 4;
 
-/// Attempts that a gang may lose before it avoids spot machines.
-const MAX_ATTEMPTS_ON_SPOT: u32 = 2;
+/// Number of lost attempts after which a gang avoids spot machines.
+const MAX_GANG_SPOT_ATTEMPTS: u32 = 2;
 
-/// A machine that may be given tasks.
+/// A machine on which tasks may be placed.
 pub(super) struct CandidateMachine<'a> {
     pub(super) id: &'a MachineId,
     pub(super) machine: &'a MachineRecord,
     /// Session of its worker.
     pub(super) session: u64,
-    /// Belongs to the scheduling controller.
+    /// Whether this controller owns the machine.
     pub(super) owned: bool,
-    /// Still boots; only in a forecast.
+    /// Whether the machine is still booting; only in a forecast.
     pub(super) booting: bool,
     pub(super) free: Resources,
     pub(super) capacity: Resources,
     /// Images that its worker has probably cached.
     pub(super) images: Option<&'a HashSet<String>>,
-    /// Found when first asked for.
+    /// Computed on first use.
     pub(super) preemptible: Option<PreemptibleTasks>,
-    /// Found when first asked for.
+    /// Computed on first use.
     pub(super) backfill: Option<BackfillTasks>,
-    pub(super) gpuless_types_exist: bool,
+    pub(super) has_cpu_only_types: bool,
 }
 
 impl CandidateMachine<'_> {
-    /// Whether the machine has probably cached a job's image.
+    /// Returns whether the machine's worker has probably cached a job's image.
     pub(super) fn has_image(&self, spec: &JobSpec) -> bool {
         self.images
             .is_some_and(|images| images.contains(&spec.image))
     }
 }
 
-/// Whether a machine is of a type, zone and price model that the job allows.
+/// Returns whether a job allows a machine's type, zone and price model (spot or on-demand).
 pub fn machine_allowed(spec: &JobSpec, machine: &MachineRecord) -> bool {
     spec.machine_types
         .as_ref()
@@ -57,28 +57,29 @@
         && (spec.allow_spot || !machine.spot)
 }
 
-/// Whether a job's tasks may go to spot machines now. One preempted machine of a gang ends the whole
-/// attempt, and what was computed since the last checkpoint is lost: on many spot machines, preempted
-/// more often than it saves, a large gang makes no progress and pays for all of them again and again.
+/// Returns whether a job's tasks may be placed on spot machines now. The preemption of one machine ends
+/// the attempt of the whole gang, and all computation since the last checkpoint is lost. On many spot
+/// machines a large gang can be preempted more often than it saves checkpoints: it makes no progress,
+/// and all its machines are paid for again with each attempt.
 pub fn may_use_spot(job: &Job) -> bool {
     let lost_attempts = || job.slot(0).map_or(0, TaskState::attempt);
     job.spec.allow_spot
         && (job.spec.kind != JobKind::Gang
             || job.spec.task_count == 1
-            || lost_attempts() < MAX_ATTEMPTS_ON_SPOT)
+            || lost_attempts() < MAX_GANG_SPOT_ATTEMPTS)
 }
 
-/// Makes candidates of machines.
+/// Creates candidates from machine records.
 pub(super) struct CandidateSource<'i, 'a> {
     input: &'i SchedulingInput<'a>,
     capacities: HashMap<&'a str, Resources>,
-    gpuless_types_exist: bool,
+    has_cpu_only_types: bool,
 }
 
 impl<'i, 'a> CandidateSource<'i, 'a> {
     pub(super) fn new(
         input: &'i SchedulingInput<'a>,
-        gpuless_types_exist: bool,
+        has_cpu_only_types: bool,
     ) -> CandidateSource<'i, 'a> {
         let types = input.view.machine_types.iter();
         CandidateSource {
@@ -86,7 +87,7 @@
             capacities: types
                 .map(|(name, t)| (name.as_str(), Resources::of_machine(t)))
                 .collect(),
-            gpuless_types_exist,
+            has_cpu_only_types,
         }
     }
 
@@ -114,11 +115,11 @@
             images: view.images.get(id),
             preemptible: None,
             backfill: None,
-            gpuless_types_exist: self.gpuless_types_exist,
+            has_cpu_only_types: self.has_cpu_only_types,
         })
     }
 
-    /// All schedulable machines, in order of their ids.
+    /// Returns all schedulable machines, ordered by id.
     pub(super) fn all(&self) -> Vec<CandidateMachine<'a>> {
         let machines = self.input.view.machines.iter();
         machines
@@ -126,21 +127,21 @@
             .collect()
     }
 
-    /// Machines on which the smallest task of the queue may fit, in order of their ids.
+    /// Returns the machines on which the task with the fewest CPUs in the queue may fit, ordered by id.
     pub(super) fn with_free_resources(
         &self,
         queue: &[QueueEntry<'_>],
     ) -> Vec<CandidateMachine<'a>> {
         let machines = &self.input.view.machines;
-        let least_cpus = queue
+        let min_cpus = queue
             .iter()
             .map(|entry| entry.job.spec.resources.cpus)
             .min()
             .unwrap_or(0);
-        let ids = machines_with_free_cpus(self.input, least_cpus);
-        if ids.len() * SCAN_RATIO > machines.len() {
+        let ids = machines_with_free_cpus(self.input, min_cpus);
+        if ids.len() * FULL_SCAN_RATIO > machines.len() {
             let candidates = machines.iter().filter_map(|(id, m)| self.candidate(id, m));
-            candidates.filter(|c| c.free.cpus >= least_cpus).collect()
+            candidates.filter(|c| c.free.cpus >= min_cpus).collect()
         } else {
             let found = ids.into_iter();
             found
@@ -149,25 +150,29 @@
         }
     }
 
-    /// Adds the schedulable machines that are not in a list yet.
+    /// Adds the schedulable machines that are not yet in a list.
     pub(super) fn add_missing(&self, list: &mut Vec<CandidateMachine<'a>>) {
-        let known: HashSet<&MachineId> = list.iter().map(|candidate| candidate.id).collect();
+        let listed: HashSet<&MachineId> = list.iter().map(|candidate| candidate.id).collect();
         let machines = self.input.view.machines.iter();
-        let others = machines.filter(|(id, _)| !known.contains(id));
+        let others = machines.filter(|(id, _)| !listed.contains(id));
         list.extend(others.filter_map(|(id, machine)| self.candidate(id, machine)));
     }
 }
 
-/// Machines on which so many CPUs (in thousandths) may be free, in order of their ids.
-fn machines_with_free_cpus<'a>(input: &SchedulingInput<'a>, least_cpus: i64) -> Vec<&'a MachineId> {
+/// Returns the machines on which at least `min_cpus` (in thousandths) may be free, ordered by id.
+fn machines_with_free_cpus<'a>(input: &SchedulingInput<'a>, min_cpus: i64) -> Vec<&'a MachineId> {
     let index = input.view.indexes();
-    let from = (least_cpus, MachineId::from(""));
-    let mut ids: Vec<&MachineId> = index.by_free_cpus.range(from..).map(|x| &x.1).collect();
-    let not_listed = |id: &MachineId| {
+    let from = (min_cpus, MachineId::from(""));
+    let mut ids: Vec<&MachineId> = index
+        .by_free_cpus
+        .range(from..)
+        .map(|entry| &entry.1)
+        .collect();
+    let below_min_cpus = |id: &MachineId| {
         let free_cpus = input.view.free_cpus(id);
-        free_cpus.is_some_and(|cpus| cpus < least_cpus)
+        free_cpus.is_some_and(|cpus| cpus < min_cpus)
     };
-    ids.extend(input.freed.keys().filter(|id| not_listed(id)));
+    ids.extend(input.freed.keys().filter(|id| below_min_cpus(id)));
     ids.sort_unstable();
     ids
 }
