--- a/src/jobs/api/cancellation.rs
+++ b/src/jobs/api/cancellation.rs
@@ -1,30 +1,31 @@
-//! Cancellation of a job: confirmed to the user after the durable write, and not during a confirmation hold.
+//! Cancellation of a job. It is confirmed to the user after the durable write, and never during a
+//! confirmation hold.
 
 use super::super::commit::cancel;
 use super::super::model::JobId;
 use super::job_state::is_final;
-use super::{MAX_TRANSACTIONS, StateUnavailable, unavailable};
+use super::{MAX_TRANSACTIONS_PER_REQUEST, StateUnavailable, service_unavailable};
 use crate::controller::Controller;
 use crate::store::client::TransactionOutcome;
 use crate::wire::server::Response;
 use crate::wire::user::valid_id;
 
 impl Controller {
-    /// Answers a cancellation. Idempotent: a finished job is answered with its state.
+    /// Handles a cancellation request. Idempotent: the answer for a finished job is its state.
     pub(super) async fn cancel(&self, id: &str) -> Response {
         if !valid_id(id) {
             return Response::status(404);
         }
-        for _ in 0..MAX_TRANSACTIONS {
+        for _ in 0..MAX_TRANSACTIONS_PER_REQUEST {
             match self.job_state(id).await {
                 Ok(Some(state)) if is_final(&state) => return Response::with(200, &state),
-                // Nothing is written that could not be confirmed afterwards.
+                // The cancellation could not be confirmed after the write, so nothing is written.
                 Ok(Some(_)) if self.membership.confirmations_held(self.clock.now()) => {
-                    return unavailable();
+                    return service_unavailable();
                 }
                 Ok(Some(_)) => {}
                 Ok(None) => return Response::status(404),
-                Err(StateUnavailable) => return unavailable(),
+                Err(StateUnavailable) => return service_unavailable(),
             }
             let transaction = cancel(&self.watch_cache.view(), &JobId::from(id), self.limits());
             let Some(transaction) = transaction else {
@@ -33,10 +34,10 @@
             match self.watch_cache.transaction(&transaction).await {
                 TransactionOutcome::Done(_) | TransactionOutcome::Conflict(_) => {}
                 TransactionOutcome::Refused(_) | TransactionOutcome::Unknown => {
-                    return unavailable();
+                    return service_unavailable();
                 }
             }
         }
-        unavailable()
+        service_unavailable()
     }
 }
--- a/src/jobs/api/forwarding.rs
+++ b/src/jobs/api/forwarding.rs
@@ -1,5 +1,5 @@
-//! Requests that this controller cannot answer for want of the state service are forwarded to a peer that
-//! reaches it. A request that is carried out twice does no harm: submissions are idempotent by their id.
+//! Forwards requests to a peer that reaches the state service while this controller does not. Processing a
+//! request twice is harmless: submissions are idempotent by their id.
 
 use crate::controller::Controller;
 use crate::time::{Micros, SECOND};
@@ -10,10 +10,11 @@
 use http_types::Method;
 use std::net::SocketAddr;
 
-/// Time for a peer's answer, short enough that the user still gets ours.
+/// Time after which a forwarded request is abandoned. Short enough for this controller to answer the user
+/// itself before the user's request times out.
 const FORWARD_TIMEOUT: Micros = SECOND;
 
-/// Whether a body is a submission with dependencies.
+/// Returns whether a request body is a submission with dependencies.
 pub fn names_dependencies(body: &[u8]) -> bool {
     decode::<Submission>(body).is_ok_and(|submission| {
         submission
@@ -23,29 +24,30 @@
 }
 
 impl Controller {
-    /// Answers a user's request, by way of a peer if this controller cannot.
+    /// Handles a user's request, and forwards it to a peer if this controller cannot answer it.
     pub async fn on_user_or_forward(&self, request: Request) -> Response {
         let forwarded = request.body.as_ref().map(|body| ForwardedRequest {
             post: request.method == Method::Post,
             path: request.path.clone(),
             body: body.clone(),
         });
-        let response = self.on_user(request).await;
+        let response = self.handle_user_request(request).await;
         let (503, Some(forwarded)) = (response.status, forwarded) else {
             return response;
         };
-        // A peer of the previous version would accept the job and start it without its dependencies.
+        // A peer of the previous version ignores dependencies: it would accept the job and start it at
+        // once.
         if self.watch_cache.view().layout.is_none() && names_dependencies(&forwarded.body) {
             return response;
         }
-        let Some(address) = self.serving_peer() else {
+        let Some(address) = self.peer_with_state_service() else {
             return response;
         };
         self.forward(address, &forwarded).await.unwrap_or(response)
     }
 
-    /// Address of a peer that reaches the state service.
-    fn serving_peer(&self) -> Option<SocketAddr> {
+    /// Returns the address of a peer that reaches the state service.
+    fn peer_with_state_service(&self) -> Option<SocketAddr> {
         let now = self.clock.now();
         let mut peers = self.settings.peers.iter();
         peers
@@ -53,7 +55,8 @@
             .map(|peer| peer.address)
     }
 
-    /// The peer's answer; `None` if there is none that can be used.
+    /// Sends a request to a peer and returns its answer; `None` if the call fails or the answer cannot be
+    /// decoded.
     async fn forward(&self, address: SocketAddr, request: &ForwardedRequest) -> Option<Response> {
         let body = Some(pack(request));
         let call = self
@@ -67,7 +70,7 @@
         })
     }
 
-    /// Answers a request that a peer forwarded.
+    /// Handles a request that a peer forwarded.
     pub async fn on_forward(&self, body: &[u8]) -> Response {
         let Some(forwarded) = unpack::<ForwardedRequest>(body) else {
             return Response::status(400);
@@ -82,7 +85,7 @@
             path: forwarded.path,
             body: Some(forwarded.body),
         };
-        let response = self.on_user(request).await;
+        let response = self.handle_user_request(request).await;
         Response {
             status: 200,
             body: pack(&ForwardedResponse {
--- a/src/jobs/api/inspection.rs
+++ b/src/jobs/api/inspection.rs
@@ -1,5 +1,5 @@
-//! What an operator may look at, over the address for controllers: the state that this controller holds, as
-//! JSON-like bodies whose words are fixed for operators' scripts.
+//! Read-only endpoints for operators, on the address for controllers: this controller's copy of the cluster
+//! state in JSON-like bodies. The names in these bodies are fixed, because operators' scripts read them.
 
 use super::super::model::JobId;
 use super::super::pipelines::answer;
@@ -14,14 +14,14 @@
 use foldhash::{HashMap, HashSet};
 use std::collections::BTreeMap;
 
-/// Jobs with dependencies that are shown at the most: an answer may hold 64 KiB.
-const MAX_PIPELINES: usize = 200;
+/// Largest number of jobs with dependencies in one answer, which is limited to 64 KiB.
+const MAX_SHOWN_PIPELINES: usize = 200;
 
-/// Path of the pending jobs; a job's own page is below it.
+/// Path of the overview of pending jobs. The path of a single job is `/inspect/jobs/<id>`.
 const JOBS_PATH: &str = "/inspect/jobs";
 
 impl Controller {
-    /// Answers an operator's request.
+    /// Handles an operator's request.
     pub fn inspect(&self, path: &str) -> Response {
         if !self.watch_cache.loaded() {
             return Response::refusal(
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A job's state and why it is pending.
+    /// Returns a job's state and the reason why it is pending.
     fn inspect_job(&self, view: &ClusterState, id: &JobId) -> Response {
         let Some(job) = view.jobs.get(id) else {
             let reason = "not among the unfinished jobs; see coppergw show";
@@ -71,8 +71,8 @@
         Response::with(200, &(answer(view, id), reason, dependencies))
     }
 
-    /// Gives why a job is pending, as this controller sees it: failures and image fetches are known of its own
-    /// machines only.
+    /// Returns a function that gives the reason why a job is pending. Task failures and image fetches are
+    /// included only for the machines of this controller's shards.
     fn pending_reasons(&self, view: &ClusterState) -> impl Fn(&JobId, &Job) -> Reason + use<> {
         let schedule = self.forecast(view, false);
         let now = self.clock.now();
@@ -84,12 +84,13 @@
             .collect();
         move |id, job| {
             let fetching = fetching.get(id).copied().unwrap_or(0);
-            let backs_off = backing_off.contains(id);
-            pending_reason::pending_reason(&schedule, id, job, backs_off, fetching)
+            let in_backoff = backing_off.contains(id);
+            pending_reason::pending_reason(&schedule, id, job, in_backoff, fetching)
         }
     }
 
-    /// Number of tasks of each job that fetch their image on our machines.
+    /// Returns the number of tasks of each job that fetch their image on the machines of this controller's
+    /// shards.
     fn fetching_tasks(&self) -> HashMap<JobId, u32> {
         let mut fetching: HashMap<JobId, u32> = HashMap::default();
         for machine in self.workers.machines().values() {
@@ -102,7 +103,7 @@
     }
 }
 
-/// Machines, each with the number of tasks on it.
+/// Returns the machines, each with the number of tasks on it.
 fn inspect_machines(view: &ClusterState) -> Response {
     let machines: BTreeMap<&str, _> = view
         .machines
@@ -116,7 +117,7 @@
     Response::with(200, &machines)
 }
 
-/// Unfinished jobs that have dependencies.
+/// Returns the unfinished jobs that have dependencies.
 fn inspect_pipelines(view: &ClusterState) -> Response {
     let jobs: BTreeMap<&str, _> = view
         .jobs
@@ -126,7 +127,7 @@
             let id: &str = id;
             Some((id, answer(view, id)?))
         })
-        .take(MAX_PIPELINES)
+        .take(MAX_SHOWN_PIPELINES)
         .collect();
     Response::with(200, &jobs)
 }
--- a/src/jobs/api/job_state.rs
+++ b/src/jobs/api/job_state.rs
@@ -1,40 +1,41 @@
-//! State of one job as a user is told it. An answer must never contradict what another controller answered
-//! before: anything but a final state needs a linearizable read.
+//! State of one job as users receive it. An answer must never contradict an earlier answer of another
+//! controller: every state that is not final needs a linearizable read.
 
 use super::super::model::JobId;
-use super::super::pipelines::{answer, final_answer};
-use super::{StateUnavailable, unavailable};
+use super::super::pipelines::{answer, finished_job_answer};
+use super::{StateUnavailable, service_unavailable};
 use crate::controller::Controller;
 use crate::wire::server::Response;
 use crate::wire::user::{JobAnswer, Status, valid_id};
 
-/// Whether the state of a job is final: it never changes again.
+/// Returns whether the state of a job is final, which means that it never changes again.
 pub(super) fn is_final(answer: &JobAnswer) -> bool {
     matches!(answer.status, Status::Done | Status::Cancelled)
 }
 
 impl Controller {
-    /// Answers a poll of a job's state.
-    pub(super) async fn poll(&self, id: &str) -> Response {
+    /// Handles a request for a job's state.
+    pub(super) async fn handle_job_state_request(&self, id: &str) -> Response {
         if !valid_id(id) {
             return Response::status(404);
         }
         match self.job_state(id).await {
             Ok(Some(state)) => Response::with(200, &state),
             Ok(None) => Response::status(404),
-            Err(StateUnavailable) => unavailable(),
+            Err(StateUnavailable) => service_unavailable(),
         }
     }
 
-    /// The job's state in the watch cache, which may be behind.
+    /// Returns the job's state in the watch cache, which may be stale.
     pub(super) fn cached_job_state(&self, id: &str) -> Option<JobAnswer> {
         answer(&self.watch_cache.view(), id)
     }
 
-    /// The job's present state; `None` if nobody submitted it.
+    /// Returns the job's current state; `None` if it was never submitted. A cancellation is not returned
+    /// during a confirmation hold while the job is unfinished.
     pub(super) async fn job_state(&self, id: &str) -> Result<Option<JobAnswer>, StateUnavailable> {
         let state = self.linearizable_job_state(id).await?;
-        // A finished job has nothing on any machine, so that its cancellation can be confirmed at any time.
+        // A finished job has no task on any machine, so its cancellation can be confirmed at any time.
         let confirms_cancellation = state
             .as_ref()
             .is_some_and(|state| state.status == Status::Cancelled)
@@ -45,6 +46,7 @@
         Ok(state)
     }
 
+    /// Returns the job's state from a linearizable read, or from the watch cache if it is final.
     async fn linearizable_job_state(
         &self,
         id: &str,
@@ -58,25 +60,27 @@
             return Err(StateUnavailable);
         }
         if cached.is_none() {
-            // Final states are not loaded at the start: this one is read by its key.
+            // Final states are not loaded at startup, so this one is read by its key.
             match self.watch_cache.read_finished_job(&JobId::from(id)).await {
-                Ok(Some(finished_job)) => return Ok(Some(final_answer(id, finished_job))),
+                Ok(Some(finished_job)) => return Ok(Some(finished_job_answer(id, finished_job))),
                 Ok(None) => {}
                 Err(_) => return Err(StateUnavailable),
             }
         }
-        // Another controller may have answered with a newer state: the read begins after the request came.
+        // Another controller may have answered with a newer state, so the read has to begin after this
+        // request was received.
         if !self.watch_cache.linearizable_read().await {
             return Err(StateUnavailable);
         }
-        self.read_unknown_dependencies(id).await?;
+        self.read_unknown_ancestors(id).await?;
         Ok(self.cached_job_state(id))
     }
 
-    /// Reads the final states of those dependencies, direct and indirect, that the watch cache lacks. The state
-    /// of a job follows from theirs: a user who was told that one of them is cancelled must not be told
-    /// anything else of this one. That one cannot be found proves nothing.
-    async fn read_unknown_dependencies(&self, id: &str) -> Result<(), StateUnavailable> {
+    /// Reads the final states of those direct and indirect dependencies that are missing in the watch
+    /// cache. They determine the job's state: once a user has received the answer that a dependency is
+    /// cancelled, this job must not be reported as anything else. A dependency without a stored final state
+    /// leaves the job's state undecided.
+    async fn read_unknown_ancestors(&self, id: &str) -> Result<(), StateUnavailable> {
         let unknown = self.watch_cache.view().unknown_ancestors(id);
         for dependency in unknown {
             match self.watch_cache.read_finished_job(&dependency).await {
--- a/src/jobs/api/mod.rs
+++ b/src/jobs/api/mod.rs
@@ -1,7 +1,7 @@
 //! API for users and operators: submission, state, cancellation, forwarding to a peer, inspection.
 //!
-//! The API owns no state: it reads the cluster state that the watch cache holds and writes by transactions.
-//! Each concern has its file; this one dispatches users' requests and has what several concerns need.
+//! The API owns no state: it reads the cluster state from the watch cache and writes by transactions. This
+//! file dispatches users' requests and contains the items that several of the submodules use.
 
 mod cancellation;
 mod forwarding;
@@ -16,32 +16,33 @@
 use crate::wire::user::{Route, route};
 use http_types::Method;
 
-/// `Retry-After` of an answer that passes, in seconds: the least that the header can say.
+/// `Retry-After` for temporary errors, in seconds: the smallest value that the header can express.
 const RETRY_AFTER_S: u64 = 1;
 
-/// Transactions for one request: a placement may come in between, and a record may have to be split first.
-const MAX_TRANSACTIONS: usize = 12;
+/// Largest number of transactions for one request: a concurrent placement may cause a conflict, and a job's
+/// record may have to be split first.
+const MAX_TRANSACTIONS_PER_REQUEST: usize = 12;
 
-/// The state of a job cannot be told at present: the state service did not answer, or a cancellation may not
-/// be confirmed yet.
+/// Error for a job state that is unavailable at present: the state service did not answer, or a
+/// cancellation may not be confirmed yet.
 #[derive(Debug, thiserror::Error)]
-#[error("the state of the job cannot be told at present")]
+#[error("the state of the job is unavailable at present")]
 struct StateUnavailable;
 
-/// 503: the request cannot be answered at present.
-fn unavailable() -> Response {
+/// Returns status 503: the request cannot be answered at present.
+fn service_unavailable() -> Response {
     Response::retry_later(503, RETRY_AFTER_S)
 }
 
 impl Controller {
-    /// Answers a user's request.
-    pub async fn on_user(&self, request: Request) -> Response {
+    /// Dispatches a user's request to its handler.
+    pub async fn handle_user_request(&self, request: Request) -> Response {
         match (route(&request.path), request.method) {
             (Some(Route::Submit), Method::Post) => match request.body {
                 Some(body) => self.submit(&body).await,
                 None => Response::refusal(400, "the body is cut short or larger than 64 KiB"),
             },
-            (Some(Route::Job(id)), Method::Get) => self.poll(id).await,
+            (Some(Route::Job(id)), Method::Get) => self.handle_job_state_request(id).await,
             (Some(Route::Cancel(id)), Method::Post) => self.cancel(id).await,
             (Some(_), _) => Response::status(405),
             (None, _) => Response::status(404),
--- a/src/jobs/api/submission.rs
+++ b/src/jobs/api/submission.rs
@@ -1,10 +1,10 @@
-//! Idempotent submission: the job's id is the idempotency key. A job that was accepted is answered with its
-//! state, whatever a repeated submission says; only what was never accepted is rejected.
+//! Idempotent submission: the job's id is the idempotency key. The answer for an accepted job is its state,
+//! even if a repeated submission has a different content; only a job that was never accepted is rejected.
 
 use super::super::commit::accept_submission;
 use super::super::model::{AdmissionError, JobId, JobIdList, JobSpec, validate};
 use super::super::pipelines::{DependencyCheck, check_dependencies};
-use super::{MAX_TRANSACTIONS, RETRY_AFTER_S, StateUnavailable, unavailable};
+use super::{MAX_TRANSACTIONS_PER_REQUEST, RETRY_AFTER_S, StateUnavailable, service_unavailable};
 use crate::controller::Controller;
 use crate::store::client::TransactionOutcome;
 use crate::store::keys;
@@ -14,30 +14,32 @@
 use crate::wire::state::Transaction;
 use crate::wire::user::{JobAnswer, Status, Submission, id_in, valid_id};
 
-/// A submission that would wait longer for the write budget of the state service is answered 429.
+/// Longest wait for the write budget of the state service; a submission that would have to wait longer is
+/// answered with status 429.
 const MAX_WRITE_DELAY: Micros = SECOND / 2;
 
-/// Final states that one submission may read for its dependencies. A longer list is accepted at a later try,
-/// for which the states read so far are kept.
+/// Largest number of final states that one submission may read for its dependencies. If more are missing,
+/// the submission is accepted on a later retry, as the states that were read stay in the watch cache.
 const MAX_DEPENDENCY_READS: usize = 40;
 
-/// Why a submission is not accepted.
+/// Reason why a submission is not accepted.
 #[derive(Debug, thiserror::Error)]
 enum SubmissionError {
-    /// 400: the body is no submission.
+    /// 400: the body cannot be decoded as a submission, or an id is invalid.
     #[error("{0}")]
     Malformed(String),
-    /// 400 or 422: a field is out of bounds, or the job can never run.
+    /// 400 or 422: a field is out of range, or the job can never run.
     #[error(transparent)]
     Inadmissible(#[from] AdmissionError),
     /// 400: the job's record cannot be stored.
     #[error("names or lists are too long for a value of the state service")]
     TooLarge,
-    /// 429: writes would have to wait too long, or the state service limits them.
+    /// 429: the write would have to wait too long, or the state service refuses it because of its rate
+    /// limit.
     #[error("too many writes are queued")]
     Overloaded,
-    /// 503: whether the job can be accepted is not known, or its write got no answer.
-    #[error("the submission cannot be decided at present")]
+    /// 503: it is unknown whether the job can be accepted, or its write was not answered.
+    #[error("the submission cannot be processed at present")]
     Unavailable,
 }
 
@@ -47,26 +49,27 @@
     }
 }
 
-/// How a submission was accepted.
+/// Result of accepting a submission.
 enum Acceptance {
-    /// 201: by this request.
+    /// 201: accepted by this request.
     Created,
-    /// 200: by an earlier one. This is the job's state.
+    /// 200: accepted by an earlier request; contains the job's state.
     Existing(JobAnswer),
 }
 
-/// What became of one try to write a job.
+/// Result of one attempt to write a job.
 enum WriteOutcome {
     /// The job's record is written.
     Created,
-    /// The job was accepted before. This is its state.
+    /// The job was accepted by an earlier request; contains its state.
     Existing(JobAnswer),
-    /// A step before the job's record met a conflict: all steps are made anew.
+    /// A transaction before the one with the job's record conflicted, or none wrote the record: all
+    /// transactions have to be built again.
     Retry,
 }
 
 impl Controller {
-    /// Answers a submission.
+    /// Handles a submission.
     pub(super) async fn submit(&self, body: &[u8]) -> Response {
         let submission: Submission = match decode(body) {
             Ok(submission) => submission,
@@ -92,8 +95,9 @@
         }
     }
 
-    /// Answers a submission that is not accepted now. A job that was accepted under its id is answered with its
-    /// state instead: the cluster state does not hold every finished job, and machine types may have changed.
+    /// Answers a submission that is not accepted. If a job was accepted under the same id before, the
+    /// answer is its state instead: the cluster state does not contain every finished job, and the machine
+    /// types may have changed since.
     async fn reject(&self, id: &str, error: SubmissionError) -> Response {
         let status = match &error {
             SubmissionError::Malformed(_)
@@ -104,7 +108,7 @@
                 return Response::refusal(400, &error.to_string());
             }
             SubmissionError::Overloaded => return Response::retry_later(429, RETRY_AFTER_S),
-            SubmissionError::Unavailable => return unavailable(),
+            SubmissionError::Unavailable => return service_unavailable(),
         };
         tracing::debug!(id, status, %error, "submission rejected");
         let rejection = Response::refusal(status, &error.to_string());
@@ -114,11 +118,11 @@
         match self.job_state(id).await {
             Ok(Some(state)) => Response::with(200, &state),
             Ok(None) => rejection,
-            Err(StateUnavailable) => unavailable(),
+            Err(StateUnavailable) => service_unavailable(),
         }
     }
 
-    /// Accepts a submission, or says why not.
+    /// Accepts a submission, or returns the reason for not accepting it.
     async fn accept(&self, submission: &Submission) -> Result<Acceptance, SubmissionError> {
         let id = &submission.id;
         check_ids(submission)?;
@@ -144,7 +148,7 @@
         self.write_job(submission, &spec).await
     }
 
-    /// Checks a submission against the settings and the machine types.
+    /// Validates a submission against the settings and the machine types.
     fn admit(&self, submission: &Submission) -> Result<JobSpec, SubmissionError> {
         if !self.watch_cache.loaded() {
             return Err(SubmissionError::Unavailable);
@@ -161,35 +165,36 @@
         )?)
     }
 
-    /// Checks the dependencies that a submission names and gives those that still count.
+    /// Checks the dependencies of a submission and returns those that have to be stored.
     async fn resolve_dependencies(
         &self,
         id: &str,
         names: &[String],
     ) -> Result<Vec<JobId>, SubmissionError> {
-        // A controller of the previous version would start the job at once: none until all are newer.
+        // A controller of the previous version would start the job at once, so dependencies are not
+        // accepted until every controller runs a newer version.
         if self.watch_cache.view().layout.is_none() || !self.watch_cache.current() {
             return Err(SubmissionError::Unavailable);
         }
         let unknown = match check_dependencies(&self.watch_cache.view(), id, names) {
             DependencyCheck::Accepted(dependencies) => return Ok(dependencies),
-            DependencyCheck::Impossible(reason) => return Err(impossible(reason)),
+            DependencyCheck::Impossible(reason) => return Err(impossible_job(reason)),
             DependencyCheck::Unknown(unknown) => unknown,
         };
         self.read_dependencies(&unknown).await?;
         match check_dependencies(&self.watch_cache.view(), id, names) {
             DependencyCheck::Accepted(dependencies) => Ok(dependencies),
-            DependencyCheck::Impossible(reason) => Err(impossible(reason)),
+            DependencyCheck::Impossible(reason) => Err(impossible_job(reason)),
             DependencyCheck::Unknown(_) => {
-                Err(impossible("waits for a job that was never accepted"))
+                Err(impossible_job("waits for a job that was never accepted"))
             }
         }
     }
 
-    /// Reads what became of jobs that the watch cache does not have.
+    /// Reads the final states of jobs that the watch cache does not contain.
     async fn read_dependencies(&self, unknown: &[JobId]) -> Result<(), SubmissionError> {
         if unknown.len() > MAX_DEPENDENCY_READS {
-            // Final states are kept, so that the next try needs to read fewer.
+            // The states that are read stay in the watch cache, so that the next retry has to read fewer.
             for dependency in unknown.iter().take(MAX_DEPENDENCY_READS) {
                 let _ = self.watch_cache.read_finished_job(dependency).await;
             }
@@ -202,26 +207,27 @@
                 Err(_) => return Err(SubmissionError::Unavailable),
             }
         }
-        // A job that is not finished is among the unfinished ones, as a read begun now shows them, or nobody
-        // accepted it.
+        // A job without a final state is either among the unfinished jobs, which a read that begins now
+        // returns, or was never accepted.
         if missing && !self.watch_cache.linearizable_read().await {
             return Err(SubmissionError::Unavailable);
         }
         Ok(())
     }
 
-    /// Writes an admitted job. Long lists of dependencies are written in steps before its record.
+    /// Writes an admitted job. Long lists of dependencies are written by separate transactions before its
+    /// record.
     async fn write_job(
         &self,
         submission: &Submission,
         spec: &JobSpec,
     ) -> Result<Acceptance, SubmissionError> {
         let id = &submission.id;
-        for _ in 0..MAX_TRANSACTIONS {
-            let steps =
+        for _ in 0..MAX_TRANSACTIONS_PER_REQUEST {
+            let transactions =
                 accept_submission(&self.watch_cache.view(), id, spec.clone(), self.limits());
-            let steps = steps.ok_or(SubmissionError::TooLarge)?;
-            match self.write_steps(id, steps).await? {
+            let transactions = transactions.ok_or(SubmissionError::TooLarge)?;
+            match self.send_transactions(id, transactions).await? {
                 WriteOutcome::Created => {
                     let (class, dependencies) = (&submission.class, &submission.dependencies);
                     tracing::debug!(id, class, ?dependencies, "job accepted");
@@ -234,17 +240,17 @@
         Err(SubmissionError::Unavailable)
     }
 
-    /// Carries out the steps of an acceptance until one meets a conflict.
-    async fn write_steps(
+    /// Sends the transactions of an acceptance in order, up to the first one that conflicts or fails.
+    async fn send_transactions(
         &self,
         id: &str,
-        steps: Vec<Transaction>,
+        transactions: Vec<Transaction>,
     ) -> Result<WriteOutcome, SubmissionError> {
         let record_key = keys::job(id);
-        for step in steps {
-            let mut mutations = step.mutations.iter();
+        for transaction in transactions {
+            let mut mutations = transaction.mutations.iter();
             let writes_record = mutations.any(|mutation| mutation.key() == record_key);
-            match self.watch_cache.transaction(&step).await {
+            match self.watch_cache.transaction(&transaction).await {
                 TransactionOutcome::Done(_) if writes_record => return Ok(WriteOutcome::Created),
                 TransactionOutcome::Done(_) => {}
                 TransactionOutcome::Conflict(_) => {
@@ -264,7 +270,7 @@
     }
 }
 
-/// Checks the form of every id that a submission names.
+/// Checks the format of every id in a submission.
 fn check_ids(submission: &Submission) -> Result<(), SubmissionError> {
     let dependencies = submission.dependencies.iter().flatten();
     let mut ids = dependencies.chain([&submission.id]);
@@ -274,7 +280,7 @@
     }
 }
 
-/// A dependency with which the job can never run.
-fn impossible(reason: &'static str) -> SubmissionError {
+/// Returns the error for dependencies with which the job can never run.
+fn impossible_job(reason: &'static str) -> SubmissionError {
     AdmissionError::Impossible(reason).into()
 }
--- a/src/jobs/pipelines.rs
+++ b/src/jobs/pipelines.rs
@@ -1,30 +1,31 @@
-//! Pipelines: which jobs a submission may depend on, and the answer about a job. Pure functions of the
-//! cluster state.
+//! Pipelines: checks the dependencies of a submission, and derives the answer about a job. Pure functions
+//! of the cluster state.
 
 use super::model::{FinishedJob, JobId};
 use crate::store::cluster_state::ClusterState;
 use crate::wire::user::{JobAnswer, JobKind, Status};
 use std::collections::BTreeSet;
 
-/// Largest number of unfinished dependencies in an answer, which keeps it short.
+/// Largest number of unfinished dependencies in an answer, to limit its size.
 const MAX_SHOWN_DEPENDENCIES: usize = 20;
 
-/// What the cluster state says about the jobs that a submission names as its dependencies.
+/// Result of checking the dependencies of a submission against the cluster state.
 #[derive(Debug, PartialEq)]
 pub enum DependencyCheck {
-    /// The dependencies to store: without those that are done; if one is cancelled, only that one,
-    /// since it decides how the new job ends.
+    /// The dependencies that have to be stored: those that are not done or, if one of them is cancelled,
+    /// only that one, because it determines the final state of the new job.
     Accepted(Vec<JobId>),
-    /// Neither unfinished jobs nor the ends of these are known here: they have to be read.
+    /// Jobs that are neither among the unfinished jobs nor among the known final states: their final states
+    /// have to be read.
     Unknown(Vec<JobId>),
-    /// The submission can never run; answered with status 422. Says why.
+    /// The job can never run; answered with status 422. Contains the reason.
     Impossible(&'static str),
 }
 
-/// Checks the jobs that the submission `own` names.
-pub fn check_dependencies(view: &ClusterState, own: &str, names: &[String]) -> DependencyCheck {
+/// Checks the dependencies `names` of a submission with the id `id`.
+pub fn check_dependencies(view: &ClusterState, id: &str, names: &[String]) -> DependencyCheck {
     let names: BTreeSet<&str> = names.iter().map(String::as_str).collect();
-    if names.contains(own) {
+    if names.contains(id) {
         return DependencyCheck::Impossible("waits for itself");
     }
     let mut dependencies = Vec::new();
@@ -48,8 +49,8 @@
     }
 }
 
-/// The answer about a job that has ended.
-pub fn final_answer(id: &str, finished: FinishedJob) -> JobAnswer {
+/// Returns the answer about a job that has ended.
+pub fn finished_job_answer(id: &str, finished: FinishedJob) -> JobAnswer {
     JobAnswer {
         id: id.into(),
         status: if finished.cancelled {
@@ -63,12 +64,12 @@
     }
 }
 
-/// The answer about a job according to the cluster state; `None` if it does not know the job. Only a
-/// final state may be answered without a newer read, and nothing while a job that it depends on is
-/// unknown (`ClusterState::unknown_above`).
+/// Returns the answer about a job according to the cluster state; `None` if the job is not in it. Callers
+/// may answer without a newer read only if the state is final, and not at all while the state of a direct
+/// or indirect dependency is unknown (`ClusterState::unknown_ancestors`).
 pub fn answer(view: &ClusterState, id: &str) -> Option<JobAnswer> {
     if let Some(finished) = view.known_finished_job(id) {
-        return Some(final_answer(id, finished));
+        return Some(finished_job_answer(id, finished));
     }
     let job = view.jobs.get(id)?;
     Some(JobAnswer {
