--- a/src/jobs/commit/block_writer.rs
+++ b/src/jobs/commit/block_writer.rs
@@ -1,11 +1,12 @@
-//! Writes task blocks in their stored form, and splits those that outgrow one value.
+//! Writes task blocks in their stored form, and splits blocks that are too large for one value.
 //!
-//! A block holds up to [`BLOCK`] slots, whatever fits into a value at present. Written packed, equal
-//! slots share an entry. What still does not fit is split into keys of fewer slots ("leaves"), of which
-//! later writes only touch those that change. A block's marker and its leaves are written in one
-//! transaction, so there is no moment in between.
+//! A block has up to [`BLOCK`] slots, independent of the present limit for the size of a value. In the
+//! packed form, equal slots share an entry. A block that is still too large is split into parts, which
+//! are keys with fewer slots each; later writes change only the parts that differ. The marker of a split
+//! block and the last of its parts are written in one transaction, so that readers never see the marker
+//! without all parts.
 
-use super::draft::{RECORD_BYTES, TransactionDraft, put};
+use super::draft::{ESTIMATED_RECORD_BYTES, TransactionDraft, put};
 use super::limits::TransactionLimits;
 use crate::jobs::model::{BLOCK, JobId, JobSpec, StoredBlock, TaskBlock, TaskState};
 use crate::store::cluster_state::{ClusterState, Job};
@@ -14,54 +15,54 @@
 use crate::wire::state::Mutation;
 use foldhash::HashSet;
 
-/// Part of a value, in percent, that a leaf may fill when it is created: placements and completions
-/// that alternate take more room later, and a leaf that is full would have to be split again at once.
-const NEW_LEAF_FILL_PERCENT: usize = 75;
+/// Largest size of a new part, in percent of the largest value. Alternating placements and completions
+/// increase its size later, and a part that is full from the start would have to be split again at once.
+const NEW_PART_FILL_PERCENT: usize = 75;
 
-/// Estimated bytes around the slots of a plain block.
-const PLAIN_BLOCK_BYTES: usize = 128;
-/// Estimated bytes of a placed slot in a plain block, without its machine's name.
+/// Estimated size of a plain block without its slots, in bytes.
+const PLAIN_BLOCK_OVERHEAD_BYTES: usize = 128;
+/// Estimated size of a placed slot in a plain block, without its machine's name, in bytes.
 const PLAIN_PLACED_SLOT_BYTES: usize = 32;
-/// Estimated bytes of any other slot in a plain block.
+/// Estimated size of any other slot in a plain block, in bytes.
 const PLAIN_SLOT_BYTES: usize = 14;
 
-/// What a write did to the layout of its block.
+/// Effect of a write on the layout of its block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BlockLayout {
-    /// The block is stored in the keys that it had.
+    /// The block is stored under the same keys as before.
     Kept,
-    /// The block is split, or split into smaller leaves, by this write.
+    /// This write splits the block, or splits it into smaller parts than before.
     NewlySplit,
 }
 
-/// The value is larger than the state service takes.
+/// Error for a value that is larger than the state service accepts.
 struct ValueTooLarge;
 
-/// The leaves that a block is split into.
-struct NewLeaves {
-    /// Slots in each leaf.
-    slots_per_leaf: u32,
-    /// Writes of the leaves that the state service does not hold already.
+/// The parts of a block that is being split.
+struct NewParts {
+    /// Number of slots in each part.
+    slots_per_part: u32,
+    /// Writes of the parts that the state service does not store yet.
     puts: Vec<Mutation>,
 }
 
 /// Writes blocks of one job.
 #[derive(Clone, Copy)]
 pub(super) struct BlockWriter<'a> {
-    /// The state that the writes are based and conditional on.
+    /// The cluster state that the writes are based on, and whose key versions are their preconditions.
     pub(super) view: &'a ClusterState,
-    /// The job.
+    /// Id of the job.
     pub(super) id: &'a JobId,
-    /// The job as `view` has it.
+    /// The job as it is in `view`.
     pub(super) job: &'a Job,
-    /// The specification that is written along with the first block.
+    /// The specification, which is stored in the same value as the first block.
     pub(super) spec: &'a JobSpec,
     /// Limits of the transaction.
     pub(super) limits: TransactionLimits,
 }
 
 impl BlockWriter<'_> {
-    /// Adds the writes that give block `index` the content of `block`.
+    /// Adds the writes that replace the content of block `index` by `block`.
     pub(super) fn write(
         &self,
         draft: &mut TransactionDraft,
@@ -69,32 +70,32 @@
         block: &TaskBlock,
     ) -> BlockLayout {
         let key = self.key(index);
-        draft.guard(self.view, key.clone());
+        draft.add_precondition(self.view, key.clone());
         if !self.limits.packed {
             self.write_plain(draft, key, index, block);
             return BlockLayout::Kept;
         }
-        let written = match self.slots_per_leaf(index) {
+        let written = match self.slots_per_part(index) {
             0 => self.write_packed(draft, &key, index, block),
-            slots_per_leaf => self.write_changed_leaves(draft, index, block, slots_per_leaf),
+            slots_per_part => self.write_changed_parts(draft, index, block, slots_per_part),
         };
         if written.is_ok() {
             return BlockLayout::Kept;
         }
-        let leaves = self.split(draft, index, block);
-        draft.mutations.extend(leaves.puts);
-        draft.bytes += RECORD_BYTES;
-        let marker = StoredBlock::Split(leaves.slots_per_leaf);
+        let new_parts = self.split(draft, index, block);
+        draft.mutations.extend(new_parts.puts);
+        draft.bytes += ESTIMATED_RECORD_BYTES;
+        let marker = StoredBlock::Split(new_parts.slots_per_part);
         draft.mutations.push(self.put_block(key, index, &marker));
         BlockLayout::NewlySplit
     }
 
-    /// Splits a block without any change of its tasks; the change follows once the block consists of
-    /// small keys. Where one transaction cannot hold all leaves, some are written first: they mean
-    /// nothing until the block names them, and the transaction that makes it do so is conditional on
-    /// the block and on every leaf.
+    /// Splits a block without changing its tasks; the change follows once the block is stored in parts.
+    /// If the parts do not fit into one transaction, some are written first. Readers ignore parts until
+    /// the block's marker refers to them, and the transaction that writes the marker is conditional on
+    /// the block and on every part.
     pub(super) fn split_unchanged(&self, index: u32) -> Option<TransactionDraft> {
-        // The specification is not changed either.
+        // The specification stays unchanged, too.
         let writer = BlockWriter {
             spec: &self.job.spec,
             ..*self
@@ -102,28 +103,28 @@
         let block = self.job.blocks.get(index as usize)?;
         let max_mutations = self.limits.max_mutations;
         let mut draft = TransactionDraft::default();
-        draft.guard(self.view, keys::job(self.id));
+        draft.add_precondition(self.view, keys::job(self.id));
         let key = self.key(index);
-        let leaves = writer.split(&mut draft, index, block);
-        if leaves.puts.len() < max_mutations {
-            draft.mutations = leaves.puts;
-            let marker = StoredBlock::Split(leaves.slots_per_leaf);
+        let new_parts = writer.split(&mut draft, index, block);
+        if new_parts.puts.len() < max_mutations {
+            draft.mutations = new_parts.puts;
+            let marker = StoredBlock::Split(new_parts.slots_per_part);
             draft
                 .mutations
                 .push(writer.put_block(key.clone(), index, &marker));
         } else {
-            draft.mutations = leaves.puts;
+            draft.mutations = new_parts.puts;
             draft.mutations.truncate(max_mutations);
             let written: HashSet<&str> = draft.mutations.iter().map(Mutation::key).collect();
             draft
                 .preconditions
-                .retain(|guarded, _| written.contains(guarded.as_str()));
+                .retain(|key, _| written.contains(key.as_str()));
         }
-        draft.guard(self.view, key);
+        draft.add_precondition(self.view, key);
         (draft.preconditions.len() <= self.limits.max_preconditions()).then_some(draft)
     }
 
-    /// The key of a block: the first one is part of the job's record.
+    /// Returns the key of a block: the first block is stored in the job's record.
     fn key(&self, index: u32) -> String {
         match index {
             0 => keys::job(self.id),
@@ -131,7 +132,8 @@
         }
     }
 
-    /// The write of a block's own key: the first block stands behind the job's specification.
+    /// Returns the write of a block's key. The value of the first block begins with the job's
+    /// specification.
     fn put_block<T: serde::Serialize>(&self, key: String, index: u32, block: &T) -> Mutation {
         match index {
             0 => put(key, &(self.spec, block)),
@@ -139,8 +141,8 @@
         }
     }
 
-    /// Slots in each leaf of a block as it is stored now; 0 if it is not split.
-    fn slots_per_leaf(&self, index: u32) -> u32 {
+    /// Returns the number of slots in each part of a block as it is stored now; 0 if it is not split.
+    fn slots_per_part(&self, index: u32) -> u32 {
         self.job
             .tasks_per_part
             .get(index as usize)
@@ -148,7 +150,7 @@
             .unwrap_or(0)
     }
 
-    /// Writes a block slot by slot, the only form that older versions read.
+    /// Writes a block with one entry for each slot, the only form that older versions read.
     fn write_plain(
         &self,
         draft: &mut TransactionDraft,
@@ -156,14 +158,15 @@
         index: u32,
         block: &TaskBlock,
     ) {
-        draft.bytes += PLAIN_BLOCK_BYTES + block.0.iter().map(plain_slot_bytes).sum::<usize>();
+        draft.bytes +=
+            PLAIN_BLOCK_OVERHEAD_BYTES + block.0.iter().map(plain_slot_bytes).sum::<usize>();
         if index == 0 {
-            draft.bytes += RECORD_BYTES;
+            draft.bytes += ESTIMATED_RECORD_BYTES;
         }
         draft.mutations.push(self.put_block(key, index, block));
     }
 
-    /// Writes a block packed into its own key.
+    /// Writes a block in packed form under a single key.
     fn write_packed(
         &self,
         draft: &mut TransactionDraft,
@@ -186,20 +189,20 @@
         Ok(())
     }
 
-    /// Writes those leaves of a split block that differ from what `view` has.
-    fn write_changed_leaves(
+    /// Writes those parts of a split block that differ from the ones in `view`.
+    fn write_changed_parts(
         &self,
         draft: &mut TransactionDraft,
         index: u32,
         block: &TaskBlock,
-        slots_per_leaf: u32,
+        slots_per_part: u32,
     ) -> Result<(), ValueTooLarge> {
         let before = self.job.blocks.get(index as usize);
         let slots_before =
-            |leaf: u32| before.and_then(|block| slots_of_leaf(block, slots_per_leaf, leaf));
-        let changed: Vec<(u32, StoredBlock)> = leaves(block, slots_per_leaf)
-            .filter(|(leaf, content)| slots_before(*leaf) != Some(content.0.as_slice()))
-            .map(|(leaf, content)| (leaf, StoredBlock::Packed(content)))
+            |part: u32| before.and_then(|block| slots_of_part(block, slots_per_part, part));
+        let changed: Vec<(u32, StoredBlock)> = parts_of_block(block, slots_per_part)
+            .filter(|(part, content)| slots_before(*part) != Some(content.0.as_slice()))
+            .map(|(part, content)| (part, StoredBlock::Packed(content)))
             .collect();
         let max_bytes = self.limits.max_value_bytes;
         if changed
@@ -208,64 +211,65 @@
         {
             return Err(ValueTooLarge);
         }
-        for (leaf, content) in changed {
-            let key = keys::block_part(self.id, index, slots_per_leaf, leaf);
-            draft.guard(self.view, key.clone());
+        for (part, content) in changed {
+            let key = keys::block_part(self.id, index, slots_per_part, part);
+            draft.add_precondition(self.view, key.clone());
             draft.bytes += json_size(&content);
             draft.mutations.push(put(key, &content));
         }
         Ok(())
     }
 
-    /// Splits a block into leaves of at most half as many slots as before. The draft is made
-    /// conditional on every leaf; those that the state service holds already are not written again.
-    fn split(&self, draft: &mut TransactionDraft, index: u32, block: &TaskBlock) -> NewLeaves {
-        let slots_per_leaf = self.new_slots_per_leaf(index, block);
+    /// Splits a block into parts with at most half the previous number of slots. Adds a precondition for
+    /// every part; parts that the state service already stores are not written again.
+    fn split(&self, draft: &mut TransactionDraft, index: u32, block: &TaskBlock) -> NewParts {
+        let slots_per_part = self.new_slots_per_part(index, block);
         let mut puts = Vec::new();
-        for (leaf, content) in leaves(block, slots_per_leaf) {
-            let key = keys::block_part(self.id, index, slots_per_leaf, leaf);
+        for (part, content) in parts_of_block(block, slots_per_part) {
+            let key = keys::block_part(self.id, index, slots_per_part, part);
             let version = self.view.version(&key);
             let never_placed = content
                 .0
                 .iter()
                 .all(|state| *state == TaskState::Waiting(0));
             draft.preconditions.insert(key.clone(), version);
-            // A missing leaf is read as one of which no task was ever placed.
+            // A missing part is read as one whose tasks were never placed.
             let implied = version == 0 && never_placed;
             if !implied
-                && self.view.block_part(self.id, index, slots_per_leaf, leaf) != Some(&content)
+                && self.view.block_part(self.id, index, slots_per_part, part) != Some(&content)
             {
                 let content = StoredBlock::Packed(content);
                 draft.bytes += json_size(&content);
                 puts.push(put(key, &content));
             }
         }
-        NewLeaves {
-            slots_per_leaf,
+        NewParts {
+            slots_per_part,
             puts,
         }
     }
 
-    /// The largest number of slots for which every leaf of a block has room to grow, found by halving.
-    fn new_slots_per_leaf(&self, index: u32, block: &TaskBlock) -> u32 {
-        let before = match self.slots_per_leaf(index) {
+    /// Returns the largest number of slots, found by halving, with which every part of a block has room to
+    /// grow.
+    fn new_slots_per_part(&self, index: u32, block: &TaskBlock) -> u32 {
+        let before = match self.slots_per_part(index) {
             0 => BLOCK,
-            slots_per_leaf => slots_per_leaf,
+            slots_per_part => slots_per_part,
         };
-        let max_leaf_bytes = self.limits.max_value_bytes * NEW_LEAF_FILL_PERCENT / 100;
+        let max_part_bytes = self.limits.max_value_bytes * NEW_PART_FILL_PERCENT / 100;
         let too_large =
-            |content: TaskBlock| json_size(&StoredBlock::Packed(content)) > max_leaf_bytes;
-        let mut slots_per_leaf = before.div_ceil(2);
-        while slots_per_leaf > 1
-            && leaves(block, slots_per_leaf).any(|(_, content)| too_large(content))
+            |content: TaskBlock| json_size(&StoredBlock::Packed(content)) > max_part_bytes;
+        let mut slots_per_part = before.div_ceil(2);
+        while slots_per_part > 1
+            && parts_of_block(block, slots_per_part).any(|(_, content)| too_large(content))
         {
-            slots_per_leaf = slots_per_leaf.div_ceil(2);
+            slots_per_part = slots_per_part.div_ceil(2);
         }
-        slots_per_leaf
+        slots_per_part
     }
 }
 
-/// Estimated bytes of a slot in a plain block.
+/// Returns the estimated size of a slot in a plain block, in bytes.
 fn plain_slot_bytes(state: &TaskState) -> usize {
     match state {
         TaskState::Placed(placement) => PLAIN_PLACED_SLOT_BYTES + placement.machine.len(),
@@ -273,19 +277,22 @@
     }
 }
 
-/// The slots of one leaf of a block.
-fn slots_of_leaf(block: &TaskBlock, slots_per_leaf: u32, leaf: u32) -> Option<&[TaskState]> {
+/// Returns the slots of one part of a block.
+fn slots_of_part(block: &TaskBlock, slots_per_part: u32, part: u32) -> Option<&[TaskState]> {
     block
         .0
-        .chunks(slots_per_leaf.max(1) as usize)
-        .nth(leaf as usize)
+        .chunks(slots_per_part.max(1) as usize)
+        .nth(part as usize)
 }
 
-/// The leaves of a block with their numbers.
-fn leaves(block: &TaskBlock, slots_per_leaf: u32) -> impl Iterator<Item = (u32, TaskBlock)> + '_ {
+/// Returns the parts of a block with their numbers.
+fn parts_of_block(
+    block: &TaskBlock,
+    slots_per_part: u32,
+) -> impl Iterator<Item = (u32, TaskBlock)> + '_ {
     block
         .0
-        .chunks(slots_per_leaf.max(1) as usize)
+        .chunks(slots_per_part.max(1) as usize)
         .enumerate()
-        .map(|(leaf, slots)| (leaf as u32, TaskBlock(slots.to_vec())))
+        .map(|(part, slots)| (part as u32, TaskBlock(slots.to_vec())))
 }
--- a/src/jobs/commit/cancellation.rs
+++ b/src/jobs/commit/cancellation.rs
@@ -1,4 +1,4 @@
-//! Writes a user's cancellation into the job's record.
+//! Marks a job as cancelled in its record when a user cancels it.
 
 use super::block_writer::{BlockLayout, BlockWriter};
 use super::draft::{TransactionDraft, put};
@@ -8,18 +8,18 @@
 use crate::store::keys;
 use crate::wire::state::Transaction;
 
-/// The transaction that cancels a job, or a step towards it where the job's record has to be split
-/// first. `None` if the job is unknown here, or if not even that step fits into a transaction.
+/// Returns the transaction that cancels a job, or one that splits the job's record if that is necessary
+/// first. `None` if the job is not in `view`, or if not even the split fits into a transaction.
 pub fn cancel(view: &ClusterState, id: &JobId, limits: TransactionLimits) -> Option<Transaction> {
     let job = view.jobs.get(id)?;
     let mut spec = job.spec.as_ref().clone();
     spec.cancelled = true;
     let mut draft = TransactionDraft::default();
     let key = keys::job(id);
-    draft.guard(view, key.clone());
+    draft.add_precondition(view, key.clone());
     match job.tasks_per_part.first() {
-        Some(slots_per_key) if *slots_per_key > 0 => {
-            let record = (spec, StoredBlock::Split(*slots_per_key));
+        Some(slots_per_part) if *slots_per_part > 0 => {
+            let record = (spec, StoredBlock::Split(*slots_per_part));
             draft.mutations.push(put(key, &record));
         }
         _ => {
--- a/src/jobs/commit/change.rs
+++ b/src/jobs/commit/change.rs
@@ -1,13 +1,13 @@
-//! The changes of jobs that reconciliation and scheduling ask for.
+//! Changes of jobs that reconciliation and scheduling request.
 
 use crate::ids::MachineId;
 use crate::jobs::model::JobId;
 use crate::time::Micros;
 
-/// A wanted change of a job.
+/// A requested change of a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JobChange {
-    /// An attempt is proved to run on its machine no longer.
+    /// An attempt has been proved to be no longer running on its machine.
     AttemptEnded {
         /// Job of the attempt.
         job: JobId,
@@ -15,7 +15,7 @@
         index: u32,
         /// Number of the attempt.
         attempt: u32,
-        /// Whether it completed; if not, the task has to run again.
+        /// Whether the attempt completed; if not, the task has to run again.
         done: bool,
     },
     /// A running attempt should stop (preemption, drain or cancellation).
@@ -26,17 +26,17 @@
         index: u32,
         /// Number of the attempt.
         attempt: u32,
-        /// Grace period between the request and the kill.
+        /// Time between the stop request and the forced termination.
         grace: Micros,
     },
     /// Waiting tasks should start on machines.
     Place {
         /// Job of the tasks.
         job: JobId,
-        /// Index of each task, its machine, and the machine's session that the start is meant for.
+        /// Index of each task, its machine, and the session of the machine for which the start is valid.
         tasks: Vec<(u32, MachineId, u64)>,
     },
-    /// The end of the job should be written, if its task states say that it has ended.
+    /// The final state of the job should be written, provided that its task states show that it has ended.
     Finalize {
         /// Job that may have ended.
         job: JobId,
@@ -44,7 +44,7 @@
 }
 
 impl JobChange {
-    /// The job that is to change.
+    /// Returns the job to be changed.
     pub fn job(&self) -> &JobId {
         match self {
             JobChange::AttemptEnded { job, .. }
--- a/src/jobs/commit/job_transaction.rs
+++ b/src/jobs/commit/job_transaction.rs
@@ -1,11 +1,11 @@
-//! Turns all changes of one job into one transaction.
+//! Combines all changes of one job into one transaction.
 //!
-//! The steps: apply each change that still holds to copies of the job's task blocks, then either write
-//! the job's end or the changed blocks, then add what the placements are conditional on.
+//! The steps: apply each change that is still valid to copies of the job's task blocks, then write
+//! either the job's final state or the changed blocks, then add the preconditions of the placements.
 
 use super::block_writer::{BlockLayout, BlockWriter};
 use super::change::JobChange;
-use super::draft::{RECORD_BYTES, TransactionDraft, put};
+use super::draft::{ESTIMATED_RECORD_BYTES, TransactionDraft, put};
 use super::limits::TransactionLimits;
 use super::staging::HasTeamLimit;
 use crate::ids::MachineId;
@@ -20,21 +20,22 @@
 use crate::wire::user::JobKind;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Mutations kept free for what is written along with the tasks' keys: the job's record, its end, the
-/// team's key, the marker of a block that is split.
+/// Number of mutations reserved for the keys that are written in addition to those of the tasks: the
+/// job's record, its final state, the team's key, the marker of a split block.
 const RESERVED_MUTATIONS_PACKED: usize = 3;
-/// The same where blocks are written plain.
+/// The same if blocks are written in plain form.
 const RESERVED_MUTATIONS_PLAIN: usize = 4;
-/// Mutations that a gang needs beyond one for each of its blocks, where these are written plain.
+/// Number of mutations that a gang needs in addition to one for each of its blocks, if blocks are written
+/// in plain form.
 const GANG_RESERVED_MUTATIONS: usize = 3;
-/// Preconditions kept free while tasks are placed in plain blocks, for what is added at the end: the
-/// job's record, its changed blocks, the team's key.
+/// Number of preconditions reserved while tasks are placed in plain blocks, for the keys that are added at
+/// the end: the job's record, its changed blocks, the team's key.
 const RESERVED_PRECONDITIONS: usize = 4;
-/// Preconditions of one placement: the machine's shard and the machine.
+/// Number of preconditions of one placement: the machine's shard and the machine.
 const PRECONDITIONS_PER_PLACEMENT: usize = 2;
 
-/// The transaction that carries out the changes of one job, as far as they still hold; what does not
-/// fit is left for the next one. `None` if there is nothing to write.
+/// Returns the transaction that applies those changes of one job that are still valid. Changes that do
+/// not fit are left for the next transaction. `None` if there is nothing to write.
 pub(super) fn draft(
     view: &ClusterState,
     id: &JobId,
@@ -42,7 +43,7 @@
     has_team_limit: HasTeamLimit<'_>,
     limits: TransactionLimits,
 ) -> Option<TransactionDraft> {
-    let mut builder = JobTransaction {
+    let mut builder = JobTransactionBuilder {
         view,
         id,
         job: view.jobs.get(id)?,
@@ -59,24 +60,24 @@
     builder.finish(has_team_limit)
 }
 
-/// A key that holds task states: a block's own, or a leaf of a split one.
+/// Key with task states: that of a block, or that of a part of a split block.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TaskKey {
     block: u32,
-    leaf: u32,
+    part: u32,
 }
 
-/// How a job ended.
+/// Final state of a job.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum JobEnd {
     /// All tasks are done.
     Completed,
-    /// It is cancelled, and none of its tasks is on a machine.
+    /// The job is cancelled, and none of its tasks is on a machine.
     Cancelled,
 }
 
-/// A job's transaction while its changes are applied.
-struct JobTransaction<'a> {
+/// Builds a job's transaction from its changes.
+struct JobTransactionBuilder<'a> {
     view: &'a ClusterState,
     id: &'a JobId,
     job: &'a Job,
@@ -84,15 +85,15 @@
     draft: TransactionDraft,
     /// Copies of the blocks that change.
     changed_blocks: BTreeMap<u32, TaskBlock>,
-    /// Keys that will be written for the changed tasks.
+    /// Keys that have to be written for the changed tasks.
     changed_keys: BTreeSet<TaskKey>,
-    /// The keys of the machines that get tasks, and their versions.
+    /// Keys of the machines that tasks are placed on, and their versions.
     machine_preconditions: BTreeMap<String, u64>,
     places_tasks: bool,
 }
 
-impl JobTransaction<'_> {
-    /// Applies a change, if the job's tasks are still as the change takes them to be.
+impl JobTransactionBuilder<'_> {
+    /// Applies a change, if the job's tasks are still in the state that the change assumes.
     fn apply(&mut self, change: &JobChange) {
         match change {
             JobChange::AttemptEnded {
@@ -116,9 +117,9 @@
         let Some(placement) = self.placement(index, attempt) else {
             return;
         };
-        self.guard_shard_of(&placement.machine);
+        self.add_shard_precondition(&placement.machine);
         if done && self.job.spec.kind == JobKind::Gang {
-            // A gang completes together: if one task is done, every one is.
+            // The tasks of a gang complete together: if one is done, all are.
             for task in 0..self.job.spec.task_count {
                 self.set_task(task, TaskState::Done);
             }
@@ -129,15 +130,16 @@
         }
     }
 
-    /// Asks a running attempt to stop. A later request counts only if it leaves less grace.
+    /// Requests that a running attempt stops. A later request has an effect only if its grace period is
+    /// shorter.
     fn stop_attempt(&mut self, index: u32, attempt: u32, grace: Micros) {
         let Some(placement) = self.placement(index, attempt) else {
             return;
         };
-        if placement.stop.is_some_and(|known| known <= grace) {
+        if placement.stop.is_some_and(|earlier| earlier <= grace) {
             return;
         }
-        self.guard_shard_of(&placement.machine);
+        self.add_shard_precondition(&placement.machine);
         let stopped = Placement {
             stop: Some(grace),
             ..placement
@@ -149,14 +151,14 @@
         if self.job.cancelled() || !self.job.ready {
             return;
         }
-        let all_wait = tasks
+        let all_waiting = tasks
             .iter()
             .all(|(index, _, _)| matches!(self.task(*index), Some(TaskState::Waiting(_))));
-        if !all_wait || !self.may_place_together(tasks.len()) {
+        if !all_waiting || !self.may_place_in_one_transaction(tasks.len()) {
             return;
         }
         let is_gang = self.job.spec.kind == JobKind::Gang;
-        // Tasks of a gang find one another by their attempt: one number for all of them.
+        // The tasks of a gang discover their peers by the attempt number, so all get the same one.
         let last_gang_attempt = match is_gang {
             true => self.job.slots().map(|(_, state)| state.attempt()).max(),
             false => None,
@@ -176,7 +178,7 @@
                 stop: None,
             };
             self.set_task(*index, TaskState::Placed(placement));
-            self.guard_shard_of(machine);
+            self.add_shard_precondition(machine);
             let machine_key = keys::machine(machine);
             let version = self.view.version(&machine_key);
             self.machine_preconditions.insert(machine_key, version);
@@ -184,8 +186,9 @@
         self.places_tasks = true;
     }
 
-    /// Whether so many tasks may be placed by one transaction: any number, but a gang only whole.
-    fn may_place_together(&self, task_count: usize) -> bool {
+    /// Returns whether one transaction may place this number of tasks: any number of an array or service,
+    /// but only all tasks of a gang.
+    fn may_place_in_one_transaction(&self, task_count: usize) -> bool {
         let spec = &self.job.spec;
         if spec.kind != JobKind::Gang {
             return true;
@@ -196,9 +199,9 @@
                 || block_count + GANG_RESERVED_MUTATIONS <= self.limits.max_mutations)
     }
 
-    /// Whether the preconditions of one more placement fit; the rest of a large array follows in the
-    /// next transaction. Written packed, a transaction that outgrows its limits is dealt with at the
-    /// end.
+    /// Returns whether the preconditions of one more placement fit; the remaining tasks of a large array
+    /// follow in the next transaction. If blocks are written in packed form, [`Self::finish`] checks the
+    /// limits instead.
     fn has_room_for_placement(&self) -> bool {
         let preconditions = self.draft.preconditions.len() + self.machine_preconditions.len();
         self.limits.packed
@@ -206,7 +209,7 @@
                 <= self.limits.max_preconditions_with_reserve()
     }
 
-    /// A task's state with the changes applied so far.
+    /// Returns a task's state with the changes applied so far.
     fn task(&self, index: u32) -> Option<&TaskState> {
         match self.changed_blocks.get(&(index / BLOCK)) {
             Some(block) => block.0.get((index % BLOCK) as usize),
@@ -214,7 +217,7 @@
         }
     }
 
-    /// Where an attempt is placed, if it is the task's present one.
+    /// Returns the placement of an attempt, if it is the task's current one.
     fn placement(&self, index: u32, attempt: u32) -> Option<Placement> {
         match self.task(index) {
             Some(TaskState::Placed(placement)) if placement.attempt == attempt => {
@@ -224,8 +227,8 @@
         }
     }
 
-    /// Changes a task's state, as long as its key still fits into the transaction; what does not fit
-    /// follows in the next one. A gang is never divided.
+    /// Changes a task's state if its key still fits into the transaction; otherwise the change follows in
+    /// the next one. The changes of a gang are never divided between transactions.
     fn set_task(&mut self, index: u32, state: TaskState) {
         let reserved = match self.limits.packed {
             true => RESERVED_MUTATIONS_PACKED,
@@ -252,25 +255,26 @@
 
     fn key_of_task(&self, index: u32) -> TaskKey {
         let block = index / BLOCK;
-        let leaf = match self.job.tasks_per_part.get(block as usize) {
-            Some(slots_per_leaf) if *slots_per_leaf > 0 => index % BLOCK / slots_per_leaf,
+        let part = match self.job.tasks_per_part.get(block as usize) {
+            Some(slots_per_part) if *slots_per_part > 0 => index % BLOCK / slots_per_part,
             _ => 0,
         };
-        TaskKey { block, leaf }
+        TaskKey { block, part }
     }
 
-    /// Makes the transaction conditional on the machine's shard having the same owner and term. What
-    /// is claimed of an attempt holds only that long: a controller that was cut off may send "its lease
-    /// has expired" and have it delivered a minute later, when a newer owner has renewed that lease
-    /// ever since.
-    fn guard_shard_of(&mut self, machine: &str) {
-        self.draft.guard(self.view, keys::shard(shard_of(machine)));
+    /// Makes the transaction conditional on the machine's shard still having the same owner and term. A
+    /// statement about an attempt is valid only for that long: the message of a partitioned controller
+    /// that the attempt's lease has expired may be delivered a minute later, although a newer owner has
+    /// been renewing that lease in the meantime.
+    fn add_shard_precondition(&mut self, machine: &str) {
+        self.draft
+            .add_precondition(self.view, keys::shard(shard_of(machine)));
     }
 
-    /// Writes the job's end or its changed blocks.
+    /// Writes the job's final state or its changed blocks, and checks the limits of the transaction.
     fn finish(mut self, has_team_limit: HasTeamLimit<'_>) -> Option<TransactionDraft> {
-        self.draft.guard(self.view, keys::job(self.id));
-        if let Some(end) = self.end() {
+        self.draft.add_precondition(self.view, keys::job(self.id));
+        if let Some(end) = self.job_end() {
             return self.finalize(end);
         }
         if self.changed_blocks.is_empty() {
@@ -280,7 +284,7 @@
         if self.places_tasks && has_team_limit(&self.job.spec.team) {
             self.write_team_key();
         }
-        self.guard_machines();
+        self.add_machine_preconditions();
         let TransactionDraft {
             preconditions,
             mutations,
@@ -304,27 +308,27 @@
         fits.then_some(self.draft)
     }
 
-    /// The blocks with the changes applied.
+    /// Returns the blocks with the changes applied.
     fn blocks(&self) -> impl Iterator<Item = &TaskBlock> {
         (0u32..)
             .zip(&self.job.blocks)
             .map(|(index, block)| self.changed_blocks.get(&index).unwrap_or(block))
     }
 
-    /// Whether the job has ended, and how.
-    fn end(&self) -> Option<JobEnd> {
-        let every_task =
+    /// Returns the job's final state if it has ended.
+    fn job_end(&self) -> Option<JobEnd> {
+        let all_tasks =
             |test: fn(&TaskState) -> bool| self.blocks().all(|block| block.0.iter().all(test));
-        if every_task(|state| *state == TaskState::Done) {
+        if all_tasks(|state| *state == TaskState::Done) {
             return Some(JobEnd::Completed);
         }
         let cancelled =
-            self.job.cancelled() && every_task(|state| !matches!(state, TaskState::Placed(_)));
+            self.job.cancelled() && all_tasks(|state| !matches!(state, TaskState::Placed(_)));
         cancelled.then_some(JobEnd::Cancelled)
     }
 
-    /// Replaces the job's record by how it ended, and deletes as many of its other keys as fit; the
-    /// rest is garbage collected later.
+    /// Replaces the job's record by its final state, and deletes as many of its other keys as fit into the
+    /// transaction; the others are garbage collected later.
     fn finalize(mut self, end: JobEnd) -> Option<TransactionDraft> {
         let job_key = keys::job(self.id);
         let job_version = self.view.version(&job_key);
@@ -333,7 +337,7 @@
             done.count() as u32
         };
         let finished_job = FinishedJob {
-            // A cancelled job stays cancelled, even when its tasks all completed meanwhile.
+            // A cancelled job stays cancelled, even if all its tasks have completed since.
             cancelled: self.job.cancelled(),
             done: self.blocks().map(done).sum(),
             finished_at: match self.limits.newer_layout {
@@ -345,14 +349,14 @@
             .mutations
             .push(put(keys::finished_job(self.id), &finished_job));
         self.draft.mutations.push(Mutation::Delete { key: job_key });
-        self.draft.bytes = RECORD_BYTES;
+        self.draft.bytes = ESTIMATED_RECORD_BYTES;
         if !self.limits.packed {
-            self.delete_guarded_blocks();
+            self.delete_blocks_with_preconditions();
             return Some(self.draft);
         }
-        // Neither condition can cease to hold, so that no block needs a guard: what is done stays done,
-        // and a cancelled job gets no placement that was not written before its cancellation. What was
-        // written before that must be in the view, though.
+        // Both conditions are stable, so the blocks need no preconditions: a task that is done stays done,
+        // and a cancelled job gets no placements after the write of its cancellation. The view must
+        // contain all earlier placements, though.
         if end == JobEnd::Cancelled && self.job.spec.cancelled && self.view.revision < job_version {
             return None;
         }
@@ -364,9 +368,9 @@
         Some(self.draft)
     }
 
-    /// Deletes the blocks behind the first one, as far as they were written. The job's end is decided
-    /// on the blocks as they are in the view, so that each is guarded.
-    fn delete_guarded_blocks(&mut self) {
+    /// Deletes the blocks after the first one, as far as they were written. The job's final state was
+    /// determined from the blocks in the view, so their versions are preconditions.
+    fn delete_blocks_with_preconditions(&mut self) {
         let max_preconditions = self.limits.max_preconditions_with_reserve();
         for index in 1..self.job.blocks.len() as u32 {
             let key = keys::block(self.id, index);
@@ -390,9 +394,9 @@
         }
     }
 
-    /// Writes the changed blocks, and gives one that had to be split for that.
+    /// Writes the changed blocks, and returns one that had to be split for that.
     fn write_blocks(&mut self) -> Option<u32> {
-        // Taken out, as the writer borrows the rest.
+        // Moved out of `self`, because the writer borrows the other fields.
         let mut draft = std::mem::take(&mut self.draft);
         let mut newly_split = None;
         for (index, block) in &self.changed_blocks {
@@ -407,22 +411,23 @@
         newly_split
     }
 
-    /// Whether the placements depend on those of the job's other tasks, as its zones matter. Writing
-    /// the job's record every time lets only one such transaction succeed at a time.
+    /// Returns whether the placements depend on those of the job's other tasks, because the job restricts
+    /// its zones. The job's record is then written by each such transaction, so that concurrent ones
+    /// conflict.
     fn must_serialize_placements(&self) -> bool {
         let spec = &self.job.spec;
         self.places_tasks && (spec.single_zone || spec.zone_spread)
     }
 
-    /// Writes the job's record, although its first block does not change. Gives the block's number if
-    /// it had to be split for that.
+    /// Writes the job's record, although its first block does not change. Returns the block's index if it
+    /// had to be split for that.
     fn write_record(&self, draft: &mut TransactionDraft) -> Option<u32> {
-        if let (true, Some(slots_per_leaf)) = (self.limits.packed, self.job.tasks_per_part.first())
-            && *slots_per_leaf > 0
+        if let (true, Some(slots_per_part)) = (self.limits.packed, self.job.tasks_per_part.first())
+            && *slots_per_part > 0
         {
-            let record = (self.job.spec.as_ref(), StoredBlock::Split(*slots_per_leaf));
+            let record = (self.job.spec.as_ref(), StoredBlock::Split(*slots_per_part));
             draft.mutations.push(put(keys::job(self.id), &record));
-            draft.bytes += RECORD_BYTES;
+            draft.bytes += ESTIMATED_RECORD_BYTES;
             return None;
         }
         let first = self.changed_blocks.get(&0).unwrap_or(&self.job.blocks[0]);
@@ -430,18 +435,18 @@
         (layout == BlockLayout::NewlySplit).then_some(0)
     }
 
-    /// Lets only one placement for a team with a limit succeed at a time.
+    /// Writes the key of a team with a limit, so that concurrent placements for the team conflict.
     fn write_team_key(&mut self) {
         let key = keys::team(&self.job.spec.team);
-        self.draft.guard(self.view, key.clone());
+        self.draft.add_precondition(self.view, key.clone());
         self.draft.mutations.push(put(key, &self.id.to_string()));
     }
 
-    /// Makes the transaction conditional on the keys of the machines that get tasks, so that none of
-    /// them is being returned. That spares a start that is bound to fail and is no safety rule: a
-    /// machine whose key is gone runs nothing. Where they are too many for a transaction, the terms of
-    /// their shards stand for them.
-    fn guard_machines(&mut self) {
+    /// Makes the transaction conditional on the keys of the machines that tasks are placed on, so that
+    /// none of these machines is being returned. This avoids starts that would fail, but safety does not
+    /// depend on it: a machine whose key was deleted runs no tasks. If the keys are too many for a
+    /// transaction, it is conditional only on the terms of their shards.
+    fn add_machine_preconditions(&mut self) {
         let preconditions = &mut self.draft.preconditions;
         let count = preconditions.len() + self.machine_preconditions.len();
         if !self.limits.packed || count <= self.limits.max_preconditions() {
@@ -450,7 +455,7 @@
     }
 }
 
-/// Whether a transaction changes a key.
+/// Returns whether a transaction writes a key.
 fn writes(draft: &TransactionDraft, key: &str) -> bool {
     draft.mutations.iter().any(|mutation| mutation.key() == key)
 }
--- a/src/jobs/commit/limits.rs
+++ b/src/jobs/commit/limits.rs
@@ -1,40 +1,41 @@
-//! What one transaction may hold, and the form of what it writes.
+//! Limits of one transaction, and the stored forms that it may write.
 
 use crate::time::Micros;
 
-/// Conditions that the state service takes for each mutation that it takes.
+/// Largest number of preconditions of a transaction, as a multiple of its largest number of mutations. A
+/// limit of the state service.
 const PRECONDITIONS_PER_MUTATION: usize = 4;
-/// The same for transactions that are filled up with several jobs, or written slot by slot: a quarter
-/// stays free for what is added after the check.
+/// The same for transactions that are merged from several jobs or write blocks in plain form: a quarter of
+/// the preconditions is reserved for those that are added after the check.
 const RESERVED_PRECONDITIONS_PER_MUTATION: usize = 3;
 
 /// Limits of a transaction, and the stored forms that may be written at present.
 #[derive(Clone, Copy, Debug)]
 pub struct TransactionLimits {
-    /// Largest number of puts and deletes.
+    /// Largest number of mutations (puts and deletes).
     pub max_mutations: usize,
     /// Largest number of mutations when changes of several jobs share a transaction. Smaller than
-    /// `max_mutations`: a transaction that overdraws the write budget by much keeps users waiting.
+    /// `max_mutations`: a transaction that exceeds the write budget by far delays the requests of users.
     pub max_merged_mutations: usize,
-    /// Largest size of all values together in bytes, some reserve deducted.
+    /// Largest total size of the values in bytes, less a reserve.
     pub max_bytes: usize,
-    /// Largest size of one value in bytes of its JSON form, some reserve deducted.
+    /// Largest size of one value in bytes of its JSON form, less a reserve.
     pub max_value_bytes: usize,
-    /// Whether every controller reads the newer layout, so that it may be written.
+    /// Whether the newer layout may be written, because every controller can read it.
     pub newer_layout: bool,
-    /// Whether task blocks are written packed, and split where they outgrow a value.
+    /// Whether task blocks are written in packed form, and split if they are too large for a value.
     pub packed: bool,
-    /// Wall-clock time of the staging.
+    /// Wall-clock time at which the transactions are staged.
     pub wall_clock: Micros,
 }
 
 impl TransactionLimits {
-    /// Largest number of preconditions of a transaction.
+    /// Returns the largest number of preconditions of a transaction.
     pub(super) fn max_preconditions(&self) -> usize {
         self.max_mutations * PRECONDITIONS_PER_MUTATION
     }
 
-    /// Largest number of preconditions where more may still be added to the transaction.
+    /// Returns the largest number of preconditions of a transaction to which more may still be added.
     pub(super) fn max_preconditions_with_reserve(&self) -> usize {
         self.max_mutations * RESERVED_PRECONDITIONS_PER_MUTATION
     }
--- a/src/jobs/commit/mod.rs
+++ b/src/jobs/commit/mod.rs
@@ -1,9 +1,9 @@
-//! Turns wanted changes of jobs into transactions of the state service.
+//! Converts requested changes of jobs into transactions of the state service.
 //!
-//! Owns no state: everything here is a pure function of the cluster state as this controller sees it.
-//! Each change is checked again against that state when it is staged, and its transaction is
-//! conditional on the versions that it was staged on (compare-and-swap). A late or repeated
-//! transaction therefore changes nothing.
+//! This module owns no state: its functions are pure functions of this controller's view of the cluster
+//! state. Each change is checked against that view when it is staged, and its transaction is conditional
+//! on the key versions in the view (compare-and-swap). A late or repeated transaction therefore has no
+//! effect.
 
 mod block_writer;
 mod cancellation;
--- a/src/jobs/commit/staging.rs
+++ b/src/jobs/commit/staging.rs
@@ -1,4 +1,4 @@
-//! Groups changes by job and merges small transactions, each job's writes staying together.
+//! Groups changes by job and merges small transactions. The writes of a job stay in one transaction.
 
 use super::change::JobChange;
 use super::draft::TransactionDraft;
@@ -10,31 +10,31 @@
 use foldhash::HashSet;
 use std::collections::BTreeMap;
 
-/// Whether a team, by its name, has a limit. A placement of such a team's job is conditional on the
-/// team's key, so that two controllers cannot exceed the limit together.
+/// Function that returns whether the team with a given name has a limit. Placements of such a team's jobs
+/// are conditional on the team's key, so that two controllers cannot exceed the limit concurrently.
 pub type HasTeamLimit<'a> = &'a dyn Fn(&str) -> bool;
 
 /// A transaction with the jobs that it changes.
 #[derive(Debug)]
 pub struct StagedTransaction {
-    /// What is sent to the state service.
+    /// Transaction for the state service.
     pub transaction: Transaction,
-    /// Jobs that it changes; each is in one transaction at a time.
+    /// Jobs that the transaction changes. Each job is in at most one transaction at a time.
     pub jobs: Vec<JobId>,
 }
 
-/// Turns changes into transactions, in the order of job ids. Jobs in `busy` have a transaction in
-/// flight and are left out: their changes are found again once its outcome is known.
+/// Converts changes into transactions, in the order of job ids. Jobs in `in_flight` have a transaction in
+/// flight and are left out: their changes are determined again once its outcome is known.
 pub fn stage(
     view: &ClusterState,
     changes: &[JobChange],
-    busy: &HashSet<JobId>,
+    in_flight: &HashSet<JobId>,
     has_team_limit: HasTeamLimit<'_>,
     limits: TransactionLimits,
 ) -> Vec<StagedTransaction> {
     let mut changes_by_job: BTreeMap<&JobId, Vec<&JobChange>> = BTreeMap::new();
     for change in changes {
-        if !busy.contains(change.job()) {
+        if !in_flight.contains(change.job()) {
             changes_by_job.entry(change.job()).or_default().push(change);
         }
     }
@@ -51,11 +51,11 @@
     merger.staged
 }
 
-/// Fills transactions with the writes of several jobs.
+/// Merges the writes of several jobs into transactions.
 struct TransactionMerger {
     limits: TransactionLimits,
     staged: Vec<StagedTransaction>,
-    /// Estimated bytes of the last one of `staged`.
+    /// Estimated size of the last transaction in `staged`, in bytes.
     last_bytes: usize,
 }
 
@@ -77,13 +77,16 @@
             mutations,
         } = &mut last.transaction;
         for (key, version) in draft.preconditions {
-            if !preconditions.iter().any(|known| known.key == key) {
+            if !preconditions.iter().any(|existing| existing.key == key) {
                 preconditions.push(Precondition { key, version });
             }
         }
-        // Two jobs of one team with a limit share the team's key: one put is enough.
+        // Two jobs of a team with a limit both write the team's key: one put is enough.
         for mutation in draft.mutations {
-            if !mutations.iter().any(|known| known.key() == mutation.key()) {
+            if !mutations
+                .iter()
+                .any(|existing| existing.key() == mutation.key())
+            {
                 mutations.push(mutation);
             }
         }
--- a/src/jobs/commit/submission.rs
+++ b/src/jobs/commit/submission.rs
@@ -1,4 +1,5 @@
-//! Writes that accept a submission. Idempotent: a repeated submission finds what an earlier one wrote.
+//! Transactions that accept a submission. Idempotent: a repeated submission uses the keys that an earlier
+//! one wrote.
 
 use super::draft::put;
 use super::limits::TransactionLimits;
@@ -8,21 +9,22 @@
 use crate::wire::json_size;
 use crate::wire::state::{Precondition, Transaction};
 
-/// Bytes that a list of job ids takes beyond its ids and separators: two quotes, and one in reserve.
+/// Size of a list of job ids without its ids and separators, in bytes: two quotation marks and one in
+/// reserve.
 const LIST_OVERHEAD_BYTES: usize = 3;
-/// Bytes of the separator between two job ids of a list.
+/// Size of the separator between two job ids of a list, in bytes.
 const SEPARATOR_BYTES: usize = 1;
 
-/// A part of a job's dependencies that is stored under a key of its own.
+/// A part of a job's dependencies that is stored under a separate key.
 struct DependencyKey {
     key: String,
     jobs: JobIdList,
 }
 
-/// The next transactions that accept a job: its record, and before it keys of their own for
-/// dependencies that do not fit into the record. These are written in several steps if need be, and
-/// mean nothing without the record, whose transaction is conditional on them. `None` if the job fits
-/// into no value or the record's transaction would need too many conditions.
+/// Returns the next transactions that accept a job. They write either its record or, before that, separate
+/// keys with the dependencies that do not fit into the record, in several transactions if necessary. These
+/// keys have no effect without the record, whose transaction is conditional on them. `None` if the job is
+/// too large for a value, or if the record's transaction would need too many preconditions.
 pub fn accept_submission(
     view: &ClusterState,
     id: &str,
@@ -49,21 +51,21 @@
     })
 }
 
-/// A job's record as it is written when the job is accepted: no task was placed yet.
+/// Returns a job's record as it is written when the job is accepted: no task has been placed yet.
 fn accepted_record(spec: JobSpec, limits: TransactionLimits) -> StoredJobRecord {
-    let unwritten = TaskBlock::default();
+    let unwritten_block = TaskBlock::default();
     StoredJobRecord(
         spec,
         if limits.packed {
-            StoredBlock::Packed(unwritten)
+            StoredBlock::Packed(unwritten_block)
         } else {
-            StoredBlock::Plain(unwritten)
+            StoredBlock::Plain(unwritten_block)
         },
     )
 }
 
-/// Moves the dependencies out of a specification that does not fit into a value with them. `None` if
-/// it does not fit without them either.
+/// Moves the dependencies out of a specification that is too large for a value with them. `None` if it is
+/// too large without them, too.
 fn move_long_dependencies(
     id: &str,
     spec: &mut JobSpec,
@@ -76,7 +78,7 @@
         return Some(Vec::new());
     }
     let jobs = std::mem::take(&mut spec.dependencies).jobs;
-    // The longest number, so that the real one has room.
+    // The number with the most digits, so that the actual number fits.
     spec.dependencies.keys = u32::MAX;
     if !fits(spec) {
         return None;
@@ -86,10 +88,10 @@
     Some(parts)
 }
 
-/// Splits a list of job ids into parts that fit into a value each.
+/// Splits a list of job ids into parts, each of which fits into a value.
 fn split_dependencies(id: &str, jobs: JobIdList, limits: TransactionLimits) -> Vec<DependencyKey> {
     let mut parts: Vec<DependencyKey> = Vec::new();
-    // More than any value holds: the first id opens the first part.
+    // Larger than any value, so that the first id starts the first part.
     let mut bytes = usize::MAX;
     for job in jobs.0 {
         if bytes.saturating_add(job.len() + LIST_OVERHEAD_BYTES) > limits.max_value_bytes {
@@ -107,8 +109,8 @@
     parts
 }
 
-/// Parts that the state service does not hold. An earlier try may have written others under the same
-/// keys, as some of the jobs were not done then.
+/// Returns the parts that the state service does not store yet. An earlier attempt may have written other
+/// contents under the same keys, because some of the jobs were not done at that time.
 fn missing_keys<'a>(
     view: &ClusterState,
     id: &str,
