--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,4 +1,4 @@
-//! Jobs: the users' requests about them, their stored form, and the transactions that change them.
+//! Jobs: the API for users, the stored form of jobs, and the transactions that change them.
 
 pub mod api;
 pub mod commit;
--- a/src/jobs/model/admission.rs
+++ b/src/jobs/model/admission.rs
@@ -1,5 +1,5 @@
-//! Admission: checks a submission against the settings and the machine types, and refuses for good what
-//! is malformed or can never run.
+//! Admission: validates a submission against the settings and the machine types, and rejects jobs that are
+//! malformed or can never run.
 
 use super::{Dependencies, JobSpec, MAX_TASKS, Resources};
 use crate::settings::{Settings, Team, milli};
@@ -8,30 +8,30 @@
 use crate::wire::user::{JobKind, Submission, valid_id};
 use std::collections::BTreeMap;
 
-/// Amounts that differ by less are equal: they come as decimal fractions in floating point.
+/// Difference below which two amounts are equal: decimal fractions are inexact in floating point.
 const AMOUNT_TOLERANCE: f64 = 1e-6;
-/// Largest number of CPUs or GPUs of a task: far beyond any machine, and small enough for sums in
-/// thousandths not to overflow.
-const MAX_DEVICES: f64 = 1e6;
-/// Largest memory or image size in gigabytes, for the same reason.
-const MAX_GIGABYTES: f64 = 1e7;
+/// Largest number of CPUs or GPUs of a task: far more than any machine has, and small enough that sums in
+/// thousandths do not overflow.
+const MAX_CPUS_OR_GPUS: f64 = 1e6;
+/// Largest memory or image size in gigabytes, for the same reasons.
+const MAX_SIZE_GB: f64 = 1e7;
 /// Longest duration in seconds, about 30 years.
-const MAX_SECONDS: f64 = 1e9;
+const MAX_DURATION_S: f64 = 1e9;
 /// Longest class, team or image name in bytes.
 const MAX_NAME_BYTES: usize = 1024;
 
-/// Why a submission is refused for good.
+/// Reason why a submission is rejected permanently.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum AdmissionError {
-    /// A field has no valid value; answered with status 400. Names the field.
+    /// A field has an invalid value; answered with status 400. Contains the name of the field.
     #[error("malformed: {0}")]
     Malformed(&'static str),
-    /// The job is well formed but can never run here; answered with status 422. Says why.
+    /// The job is valid but can never run on this cluster; answered with status 422. Contains the reason.
     #[error("can never run: {0}")]
     Impossible(&'static str),
 }
 
-/// Amounts and times of a submission that are proved to be in range.
+/// Amounts and times of a submission, all of them checked to be in range.
 struct CheckedAmounts {
     resources: Resources,
     image_gb: f64,
@@ -41,8 +41,8 @@
     deadline_s: Option<f64>,
 }
 
-/// Checks a submission and gives the specification of the job. Its dependencies are not looked at.
-/// `now` is the wall-clock time of the submission.
+/// Validates a submission and returns the specification of the job, without its dependencies, which are
+/// not checked here. `now` is the wall-clock time of the submission.
 pub fn validate(
     submission: &Submission,
     settings: &Settings,
@@ -50,11 +50,11 @@
     now: Micros,
 ) -> Result<JobSpec, AdmissionError> {
     check_names(submission)?;
-    let amounts = CheckedAmounts::of(submission)?;
+    let amounts = CheckedAmounts::from_submission(submission)?;
     let team = settings
         .team(&submission.team)
         .ok_or(AdmissionError::Impossible("unknown team"))?;
-    let machine_types = known_machine_types(submission, types);
+    let machine_types = existing_machine_types(submission, types);
     check_fits_a_machine(
         submission,
         &amounts.resources,
@@ -86,7 +86,7 @@
     })
 }
 
-/// Checks the id, the number of tasks and the names.
+/// Checks the format of the id, the number of tasks and the lengths of the names.
 fn check_names(submission: &Submission) -> Result<(), AdmissionError> {
     if !valid_id(&submission.id) {
         return Err(AdmissionError::Malformed("id"));
@@ -108,14 +108,14 @@
 }
 
 impl CheckedAmounts {
-    fn of(submission: &Submission) -> Result<CheckedAmounts, AdmissionError> {
+    fn from_submission(submission: &Submission) -> Result<CheckedAmounts, AdmissionError> {
         let resources = Resources {
-            cpus: milli(in_range(submission.cpus, MAX_DEVICES, "CPUs")?),
-            gpus: milli(in_range(submission.gpus, MAX_DEVICES, "GPUs")?),
-            memory: milli(in_range(submission.memory_gb, MAX_GIGABYTES, "memory")?),
+            cpus: milli(check_range(submission.cpus, MAX_CPUS_OR_GPUS, "CPUs")?),
+            gpus: milli(check_range(submission.gpus, MAX_CPUS_OR_GPUS, "GPUs")?),
+            memory: milli(check_range(submission.memory_gb, MAX_SIZE_GB, "memory")?),
         };
-        let image_gb = in_range(submission.image_gb, MAX_GIGABYTES, "image size")?;
-        let seconds = |amount: f64, field| in_range(amount, MAX_SECONDS, field);
+        let image_gb = check_range(submission.image_gb, MAX_SIZE_GB, "image size")?;
+        let seconds = |amount: f64, field| check_range(amount, MAX_DURATION_S, field);
         Ok(CheckedAmounts {
             resources,
             image_gb,
@@ -133,7 +133,8 @@
     }
 }
 
-fn in_range(amount: f64, max: f64, field: &'static str) -> Result<f64, AdmissionError> {
+/// Returns the amount if it is between 0 and `max`; otherwise an error with the name of the field.
+fn check_range(amount: f64, max: f64, field: &'static str) -> Result<f64, AdmissionError> {
     if amount.is_finite() && (0.0..=max).contains(&amount) {
         Ok(amount)
     } else {
@@ -141,23 +142,24 @@
     }
 }
 
-/// The allowed machine types that exist, sorted: a record stays small whatever the list held.
-fn known_machine_types(
+/// Returns the allowed machine types that exist, sorted and without duplicates, so that a long list does
+/// not enlarge the job's record.
+fn existing_machine_types(
     submission: &Submission,
     types: &BTreeMap<String, MachineType>,
 ) -> Option<Vec<String>> {
     let names = submission.machine_types.as_ref()?;
-    let mut known: Vec<String> = names
+    let mut existing: Vec<String> = names
         .iter()
         .filter(|name| types.contains_key(*name))
         .cloned()
         .collect();
-    known.sort();
-    known.dedup();
-    Some(known)
+    existing.sort();
+    existing.dedup();
+    Some(existing)
 }
 
-/// Checks that a task fits an empty machine of an allowed type in an allowed zone.
+/// Checks that a task fits on an empty machine of an allowed type in an allowed zone.
 fn check_fits_a_machine(
     submission: &Submission,
     resources: &Resources,
@@ -165,7 +167,7 @@
     types: &BTreeMap<String, MachineType>,
 ) -> Result<(), AdmissionError> {
     let fits = types.values().any(|machine| {
-        // The amounts are compared as they were given as well: those that are stored are rounded.
+        // The submitted amounts are compared as well, because the stored ones are rounded.
         let exact = [
             (submission.cpus, machine.cpus),
             (submission.gpus, machine.gpus),
@@ -189,20 +191,21 @@
     }
 }
 
-/// Checks that the tasks that run at once, all of them but for arrays, fit the team's limit.
+/// Checks that the tasks that have to run at the same time do not exceed the team's limit: a single task of
+/// an array, all tasks of other jobs.
 fn check_team_limit(
     submission: &Submission,
     resources: &Resources,
     team: &Team,
 ) -> Result<(), AdmissionError> {
-    let tasks_at_once = match submission.kind {
+    let concurrent_tasks = match submission.kind {
         JobKind::Array => 1,
         _ => i64::from(submission.task_count),
     };
     let exceeds = |exact: f64, rounded: i64, max: i64| {
-        let thousandths = exact * tasks_at_once as f64 * 1000.0;
+        let thousandths = exact * concurrent_tasks as f64 * 1000.0;
         max > 0
-            && (rounded.saturating_mul(tasks_at_once) > max
+            && (rounded.saturating_mul(concurrent_tasks) > max
                 || thousandths > max as f64 + AMOUNT_TOLERANCE)
     };
     if exceeds(submission.cpus, resources.cpus, team.cpus_max)
--- a/src/jobs/model/dependencies.rs
+++ b/src/jobs/model/dependencies.rs
@@ -1,33 +1,33 @@
-//! Dependencies between jobs, as they are stored.
+//! Stored form of the dependencies between jobs.
 
 use super::JobId;
 use serde::{Deserialize, Serialize};
 
 /// Jobs that must be done before a job starts. Those that do not fit into the job's record are stored
-/// under keys of their own.
+/// under separate keys.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Dependencies {
-    /// Those that are listed in the record.
+    /// Dependencies that are stored in the record.
     #[serde(rename = "j", default)]
     pub jobs: JobIdList,
-    /// Number of further keys that list the rest.
+    /// Number of keys with the other dependencies.
     #[serde(rename = "k", default)]
     pub keys: u32,
 }
 
 impl Dependencies {
-    /// Whether the job depends on none.
+    /// Returns whether the job has no dependencies.
     pub fn is_empty(&self) -> bool {
         self.jobs.0.is_empty() && self.keys == 0
     }
 }
 
-/// Job ids, stored as one text without what most of them begin with, so that a long list takes a few
-/// bytes an id.
+/// Job ids, stored as one string without the prefix of most ids, so that a long list takes only a few
+/// bytes for each id.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct JobIdList(pub Vec<JobId>);
 
-/// What most job ids begin with; left out of stored lists and put in front when these are read.
+/// Prefix of most job ids. It is removed from the ids in stored lists, and added when a list is read.
 const ID_PREFIX: &str = "req-";
 
 impl Serialize for JobIdList {
--- a/src/jobs/model/mod.rs
+++ b/src/jobs/model/mod.rs
@@ -1,6 +1,6 @@
-//! Jobs as they are stored and as the program keeps them: specification, admission, task states in
-//! blocks, the end of a job. Types and pure functions only; the state itself is in the state service,
-//! and the copy of it in [`ClusterState`](crate::store::cluster_state::ClusterState).
+//! Data model of jobs, in memory and as stored: specification, admission, task states in blocks, final
+//! state. Contains only types and pure functions; the state itself is in the state service, with a copy
+//! in [`ClusterState`](crate::store::cluster_state::ClusterState).
 
 mod admission;
 mod dependencies;
--- a/src/jobs/model/packed_block.rs
+++ b/src/jobs/model/packed_block.rs
@@ -1,5 +1,5 @@
-//! The packed stored form of a task block: equal states share an entry, so that a block of a large job
-//! fits into one value. Written once every controller reads it.
+//! Packed stored form of a task block: equal states share an entry, so that a block of a large job fits
+//! into one value. It is written only if every controller can read it.
 
 use super::task_block::{decode_grace, encode_grace};
 use super::{MAX_TASKS, Placement, TaskBlock, TaskState};
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::collections::BTreeMap;
 
-/// Numbers of slots as runs: how many to skip, how many to take, and so on.
+/// Run-length encoded set of slot numbers: the lengths of alternating runs of excluded and included slots.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
 struct Runs(Vec<u32>);
@@ -17,7 +17,7 @@
         self.0.is_empty()
     }
 
-    /// Calls `visit` with each slot number below `len`, in order.
+    /// Calls `visit` with each included slot number below `len`, in ascending order.
     fn for_each(&self, len: u32, mut visit: impl FnMut(usize)) {
         let mut slot = 0u32;
         for pair in self.0.chunks(2) {
@@ -32,11 +32,11 @@
     }
 }
 
-/// Builds runs from slot numbers that come in ascending order.
+/// Builds runs from slot numbers that are added in ascending order.
 #[derive(Default)]
 struct RunsBuilder {
     runs: Runs,
-    /// The slot behind the last one.
+    /// The slot number after the last included one.
     end: u32,
 }
 
@@ -50,20 +50,20 @@
     }
 }
 
-/// Placements that are equal but for their machines. Stored as a sequence of its fields.
+/// Placements that differ only in their machines. Stored as a sequence of the fields.
 #[derive(Clone, Debug, PartialEq)]
 struct PackedPlacements {
-    /// What the names of all machines begin with.
+    /// Common prefix of the names of all machines.
     machine_prefix: String,
     session: u64,
     attempt: u32,
     /// Grace period in its stored form.
     grace: u64,
     slots: Runs,
-    /// The rest of each machine's name, in the order of the slots, separated by spaces, which no name
-    /// contains.
+    /// Each machine's name without the prefix, in the order of the slots. Separated by spaces, which do not
+    /// occur in names.
     machine_suffixes: String,
-    /// For each of these names, how many slots in a row have it; empty if that is one for all.
+    /// Number of consecutive slots on each of these machines; empty if it is one for all of them.
     slots_per_machine: Vec<u32>,
 }
 
@@ -100,7 +100,7 @@
 }
 
 impl PackedPlacements {
-    /// Writes the placements into the slots of a block with `len` of them.
+    /// Writes the placements into the slots of a block with `len` slots.
     fn unpack_into(&self, states: &mut [TaskState], len: u32) {
         let names = self.machine_suffixes.split(' ').enumerate();
         let mut machines = names.flat_map(|(index, suffix)| {
@@ -121,7 +121,8 @@
     }
 }
 
-/// What placements of one entry share. The order of the fields is the order of the entries.
+/// Fields that are equal in all placements of one entry. The entries are sorted by these fields, in the
+/// order of their declaration.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct SharedPlacement {
     session: u64,
@@ -130,13 +131,13 @@
     grace: u64,
 }
 
-/// Slots in a row on one machine.
+/// Consecutive slots on one machine.
 struct MachineRun<'a> {
     machine: &'a str,
     slots: u32,
 }
 
-/// Placements that share all but their machines, while they are collected.
+/// Placements that differ only in their machines, while they are collected.
 #[derive(Default)]
 struct PlacementGroup<'a> {
     slots: RunsBuilder,
@@ -152,7 +153,7 @@
         }
     }
 
-    /// What the names of all machines begin with.
+    /// Returns the common prefix of the names of all machines.
     fn common_prefix(&self) -> &'a str {
         let mut names = self.machines.iter().map(|run| run.machine);
         let first = names.next().unwrap_or_default();
@@ -194,7 +195,7 @@
     }
 }
 
-/// A packed block. A slot that is in no list was never placed.
+/// A packed block. A slot that is in none of the lists was never placed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct PackedBlock {
     /// Number of slots.
@@ -202,15 +203,15 @@
     len: u32,
     #[serde(rename = "d", default, skip_serializing_if = "Runs::is_empty")]
     done: Runs,
-    /// Slots that wait after this many attempts.
+    /// Numbers of attempts, each with the slots that are waiting after that number.
     #[serde(rename = "w", default, skip_serializing_if = "Vec::is_empty")]
     waiting: Vec<(u32, Runs)>,
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     placed: Vec<PackedPlacements>,
-    /// If not 0, the block is split: its slots are in keys of their own, this many in each, and all
-    /// other fields are empty.
+    /// Number of slots in each part of a split block, whose slots are stored under separate keys and whose
+    /// other fields are empty; 0 if the block is not split.
     #[serde(rename = "s", default, skip_serializing_if = "is_zero")]
-    pub(super) slots_per_leaf: u32,
+    pub(super) slots_per_part: u32,
 }
 
 fn is_zero(number: &u32) -> bool {
@@ -218,10 +219,10 @@
 }
 
 impl PackedBlock {
-    /// The marker of a block that is split into keys of this many slots.
-    pub(super) fn split(slots_per_leaf: u32) -> PackedBlock {
+    /// Returns the marker of a block that is split into parts with `slots_per_part` slots.
+    pub(super) fn split(slots_per_part: u32) -> PackedBlock {
         PackedBlock {
-            slots_per_leaf,
+            slots_per_part,
             ..PackedBlock::default()
         }
     }
@@ -259,14 +260,14 @@
                 .into_iter()
                 .map(|(shared, group)| group.pack(shared))
                 .collect(),
-            slots_per_leaf: 0,
+            slots_per_part: 0,
         }
     }
 }
 
 impl From<PackedBlock> for TaskBlock {
     fn from(packed: PackedBlock) -> TaskBlock {
-        // A damaged value must not allocate without bound.
+        // Limits the allocation if the value is corrupt.
         let len = packed.len.min(MAX_TASKS);
         let mut states = vec![TaskState::Waiting(0); len as usize];
         for (attempts, slots) in &packed.waiting {
--- a/src/jobs/model/records.rs
+++ b/src/jobs/model/records.rs
@@ -1,4 +1,5 @@
-//! Stored values of a job: its record, its blocks in every form that was ever written, and its end.
+//! Stored values of a job: its record, its blocks in every form that any version has written, and its final
+//! state.
 
 use super::packed_block::PackedBlock;
 use super::task_block::PlainState;
@@ -9,15 +10,15 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::fmt;
 
-/// A block as it is stored. Every form will always be read; which one is written depends on what the
-/// other controllers read and on the limits of the state service.
+/// A block as it is stored. Every form remains readable; the form that is written depends on which forms
+/// the other controllers can read, and on the limits of the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoredBlock {
-    /// State by state: the only form that the first versions read.
+    /// One entry for each state: the only form that the first versions read.
     Plain(TaskBlock),
     /// Equal states share an entry.
     Packed(TaskBlock),
-    /// The slots are in keys of their own; holds how many are in each.
+    /// The slots are stored under separate keys; contains the number of slots for each key.
     Split(u32),
 }
 
@@ -26,8 +27,8 @@
         match self {
             StoredBlock::Plain(block) => block.serialize(serializer),
             StoredBlock::Packed(block) => PackedBlock::from(block).serialize(serializer),
-            StoredBlock::Split(slots_per_key) => {
-                PackedBlock::split(*slots_per_key).serialize(serializer)
+            StoredBlock::Split(slots_per_part) => {
+                PackedBlock::split(*slots_per_part).serialize(serializer)
             }
         }
     }
@@ -39,7 +40,7 @@
     }
 }
 
-/// Tells the stored forms apart: a sequence is a plain block, a map a packed or split one.
+/// Distinguishes the stored forms: a sequence is a plain block, a map is a packed or split one.
 struct StoredBlockVisitor;
 
 impl<'de> Visitor<'de> for StoredBlockVisitor {
@@ -59,33 +60,33 @@
 
     fn visit_map<A: MapAccess<'de>>(self, fields: A) -> Result<StoredBlock, A::Error> {
         let packed = PackedBlock::deserialize(MapAccessDeserializer::new(fields))?;
-        Ok(match packed.slots_per_leaf {
+        Ok(match packed.slots_per_part {
             0 => StoredBlock::Packed(packed.into()),
-            slots_per_key => StoredBlock::Split(slots_per_key.min(BLOCK)),
+            slots_per_part => StoredBlock::Split(slots_per_part.min(BLOCK)),
         })
     }
 }
 
-/// The value of a job's key: its specification and its first block, so that a small job is one key.
-/// An empty block stands for one of which nothing was written yet.
+/// The value of a job's key: its specification and its first block, so that a small job needs only one
+/// key. An empty block represents one that has not been written yet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord(pub JobSpec, pub TaskBlock);
 
-/// The same with the block in any stored form.
+/// A [`JobRecord`] with the block in any stored form.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoredJobRecord(pub JobSpec, pub StoredBlock);
 
-/// How a job ended. Never deleted.
+/// Final state of a job. Never deleted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinishedJob {
-    /// Whether it was cancelled; otherwise it completed.
+    /// Whether the job was cancelled; otherwise it completed.
     #[serde(rename = "x")]
     pub cancelled: bool,
     /// Number of tasks that completed.
     #[serde(rename = "d")]
     pub done: u32,
-    /// Wall-clock time of the end, from which the waiting time of dependent jobs counts. 0 if the
-    /// version that wrote the value did not store it.
+    /// Wall-clock time at which the job ended; the waiting time of dependent jobs is measured from it. 0 if
+    /// the version that wrote the value did not store it.
     #[serde(rename = "at", default, skip_serializing_if = "is_unknown")]
     pub finished_at: Micros,
 }
--- a/src/jobs/model/resources.rs
+++ b/src/jobs/model/resources.rs
@@ -1,11 +1,11 @@
-//! Amounts of resources, and what the tasks on a machine use.
+//! Amounts of resources, and the usage of a machine by its tasks.
 
 use super::{JobSpec, MAX_TASKS};
 use crate::wire::cloud::MachineType;
 use crate::wire::user::JobKind;
 use serde::{Deserialize, Serialize};
 
-/// Resources of a task or machine, in thousandths: sums of integers do not drift.
+/// Resources of a task or machine, in thousandths: sums of integers have no rounding errors.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
     /// Thousandths of a CPU.
@@ -20,26 +20,26 @@
 }
 
 impl Resources {
-    /// Whether `need` fits into these resources.
+    /// Returns whether `need` fits into these resources.
     pub fn fits(&self, need: &Resources) -> bool {
         self.cpus >= need.cpus && self.gpus >= need.gpus && self.memory >= need.memory
     }
 
-    /// Takes `need` away; may become negative.
+    /// Subtracts `need`; amounts may become negative.
     pub fn subtract(&mut self, need: &Resources) {
         self.cpus -= need.cpus;
         self.gpus -= need.gpus;
         self.memory -= need.memory;
     }
 
-    /// Gives `need` back.
+    /// Adds `need`.
     pub fn add(&mut self, need: &Resources) {
         self.cpus += need.cpus;
         self.gpus += need.gpus;
         self.memory += need.memory;
     }
 
-    /// The resources of this many tasks together.
+    /// Returns the total resources of `task_count` tasks.
     pub fn for_tasks(&self, task_count: i64) -> Resources {
         Resources {
             cpus: self.cpus * task_count,
@@ -48,12 +48,12 @@
         }
     }
 
-    /// CPUs, GPUs and memory, in this order.
+    /// Returns CPUs, GPUs and memory, in this order.
     pub fn amounts(&self) -> [i64; 3] {
         [self.cpus, self.gpus, self.memory]
     }
 
-    /// How many tasks that need `need` each fit, at most [`MAX_TASKS`].
+    /// Returns the number of tasks, each with `need`, that fit into these resources; at most [`MAX_TASKS`].
     pub fn count_fitting(&self, need: &Resources) -> i64 {
         let count = |have: i64, need: i64| if need > 0 { have / need } else { i64::MAX };
         count(self.cpus, need.cpus)
@@ -62,9 +62,10 @@
             .clamp(0, i64::from(MAX_TASKS))
     }
 
-    /// The resources of an empty machine.
+    /// Returns the resources of an empty machine.
     pub fn of_machine(machine_type: &MachineType) -> Resources {
-        // A little is added so that a decimal that is just below a thousandth is not rounded down.
+        // The small summand prevents rounding down if the floating-point value is just below a whole
+        // number of thousandths.
         let thousandths = |amount: f64| (amount * 1000.0 + 1e-6).floor() as i64;
         Resources {
             cpus: thousandths(machine_type.cpus),
@@ -74,8 +75,8 @@
     }
 }
 
-/// What the tasks on one machine use together. Kept up to date as tasks come and go, so that no
-/// decision has to look at each of them.
+/// Total usage of one machine by its tasks. Updated whenever a task is added or removed, so that
+/// scheduling does not have to iterate over the tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MachineUsage {
     /// Resources in use.
--- a/src/jobs/model/spec.rs
+++ b/src/jobs/model/spec.rs
@@ -1,20 +1,20 @@
-//! The specification of an accepted job, as it is stored in the job's record.
+//! Specification of an accepted job, as stored in the job's record.
 
 use super::{Dependencies, Resources};
 use crate::time::Micros;
 use crate::wire::user::{JobKind, Priority};
 use serde::{Deserialize, Serialize};
 
-/// An accepted job.
+/// Specification of an accepted job.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Class, which the service-level objectives are set for.
+    /// Class of the job; service-level objectives are defined for each class.
     #[serde(rename = "cl")]
     pub class: String,
-    /// Name of the team that is charged.
+    /// Name of the team whose quota the job uses.
     #[serde(rename = "t")]
     pub team: String,
-    /// Array, gang or service.
+    /// Kind of the job: array, gang or service.
     #[serde(rename = "k")]
     pub kind: JobKind,
     /// Priority of the class.
@@ -47,13 +47,13 @@
     /// Whether spot machines are allowed.
     #[serde(rename = "s")]
     pub allow_spot: bool,
-    /// Run time of a task as its user estimates it.
+    /// Run time of a task, as estimated by the job's user.
     #[serde(rename = "e")]
     pub estimated_run_time: Micros,
-    /// Interval between checkpoints; 0 if tasks save none.
+    /// Interval between checkpoints; 0 if the tasks save no checkpoints.
     #[serde(rename = "cp")]
     pub checkpoint_interval: Micros,
-    /// Time that saving a checkpoint takes.
+    /// Duration of saving a checkpoint.
     #[serde(rename = "sv")]
     pub checkpoint_save_time: Micros,
     /// Time after the submission within which the job should be done.
@@ -62,20 +62,20 @@
     /// Wall-clock time of the submission.
     #[serde(rename = "at")]
     pub submitted_at: Micros,
-    /// Whether its user cancelled it.
+    /// Whether the user cancelled the job.
     #[serde(rename = "x", default)]
     pub cancelled: bool,
-    /// Jobs that must be done before any task of it starts, as far as they were not done when it was
-    /// submitted. Written only once every controller knows pipelines.
+    /// Jobs that must be done before any task of this job starts, without those that were already done at
+    /// its submission. Written only if every controller supports pipelines.
     #[serde(rename = "w", default, skip_serializing_if = "Dependencies::is_empty")]
     pub dependencies: Dependencies,
 }
 
 impl JobSpec {
-    /// Whether tasks may run on machines with GPUs without using these (backfill): they save
-    /// checkpoints, and every job that needs GPUs has a higher priority, so that they are preempted
-    /// when one comes or the machine is to be released. No other job without need of GPUs may occupy
-    /// so expensive a machine.
+    /// Returns whether tasks may run on machines with GPUs without using the GPUs (backfill). Such tasks
+    /// save checkpoints, and every job that needs GPUs has a higher priority, so they are preempted when
+    /// such a job arrives or the machine is to be released. Other jobs that need no GPUs must not occupy
+    /// these expensive machines.
     pub fn backfill(&self) -> bool {
         self.resources.gpus == 0
             && self.kind == JobKind::Array
@@ -83,7 +83,7 @@
             && self.checkpoint_interval > 0
     }
 
-    /// CPUs of a task, in thousandths, if it is one of a service.
+    /// Returns the CPUs of a task, in thousandths, if the job is a service; otherwise 0.
     pub(super) fn service_cpus(&self) -> i64 {
         match self.kind {
             JobKind::Service => self.resources.cpus,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// CPUs of a task, in thousandths, if services may preempt it.
+    /// Returns the CPUs of a task, in thousandths, if services may preempt it; otherwise 0.
     pub(super) fn preemptible_cpus(&self) -> i64 {
         match self.kind {
             JobKind::Array if self.priority >= Priority::Normal => self.resources.cpus,
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Whether tasks of both jobs count the same in [`MachineUsage`](super::MachineUsage) and towards
-    /// their team's quota.
+    /// Returns whether both jobs have the same effect on [`MachineUsage`](super::MachineUsage) and on their
+    /// team's quota.
     pub fn weighs_as(&self, other: &JobSpec) -> bool {
         self.task_count == other.task_count
             && self.resources == other.resources
--- a/src/jobs/model/task_block.rs
+++ b/src/jobs/model/task_block.rs
@@ -1,34 +1,35 @@
-//! States of tasks, in blocks that are one stored value each, and the plain stored form of a block.
+//! Task states, grouped into blocks that are stored as one value each, and the plain stored form of a
+//! block.
 
 use crate::ids::MachineId;
 use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Tasks in a block. Fixed: it is part of the layout of the stored state.
+/// Number of tasks in a block. It must not change, because it is part of the layout of the stored state.
 pub const BLOCK: u32 = 256;
 /// Largest number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// Microseconds in a millisecond: grace periods are stored in milliseconds.
+/// Number of microseconds in a millisecond: grace periods are stored in milliseconds.
 const MICROS_PER_MILLI: Micros = 1000;
 
-/// Where an attempt was placed.
+/// Placement of an attempt on a machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
     /// Number of the attempt; the first is 1.
     pub attempt: u32,
-    /// Machine that it is placed on.
+    /// Machine on which the attempt is placed.
     pub machine: MachineId,
-    /// Session of the machine that the start is meant for.
+    /// Session of the machine for which the start is valid.
     pub session: u64,
-    /// Grace period with which it was asked to stop; `None` if it was not.
+    /// Grace period of the stop request; `None` if the attempt was not requested to stop.
     pub stop: Option<Micros>,
 }
 
 /// State of a task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// On no machine; holds the number of attempts made.
+    /// On no machine; contains the number of attempts so far.
     Waiting(u32),
     /// On a machine, or about to be started there.
     Placed(Placement),
@@ -37,7 +38,7 @@
 }
 
 impl TaskState {
-    /// Number of the last attempt; 0 once the task is done.
+    /// Returns the number of the last attempt; 0 if the task is done.
     pub fn attempt(&self) -> u32 {
         match self {
             TaskState::Waiting(attempts) => *attempts,
@@ -47,27 +48,27 @@
     }
 }
 
-/// The states of up to [`BLOCK`] tasks in the order of their indexes.
+/// States of up to [`BLOCK`] tasks, in the order of their indexes.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct TaskBlock(pub Vec<TaskState>);
 
-/// Number of blocks of a job with this many tasks.
-pub fn blocks(tasks: u32) -> u32 {
-    tasks.div_ceil(BLOCK)
+/// Returns the number of blocks of a job with `task_count` tasks.
+pub fn blocks(task_count: u32) -> u32 {
+    task_count.div_ceil(BLOCK)
 }
 
-/// Block `n` of a job with this many tasks, before any of them was placed.
-pub fn fresh(tasks: u32, n: u32) -> TaskBlock {
-    let len = tasks.saturating_sub(n * BLOCK).min(BLOCK);
+/// Returns block `block` of a job with `task_count` tasks, before any task was placed.
+pub fn fresh(task_count: u32, block: u32) -> TaskBlock {
+    let len = task_count.saturating_sub(block * BLOCK).min(BLOCK);
     TaskBlock(vec![TaskState::Waiting(0); len as usize])
 }
 
-/// The stored form of a grace period: 0 for none, otherwise milliseconds plus 1.
+/// Returns the stored form of a grace period: 0 for none, otherwise milliseconds plus 1.
 pub(super) fn encode_grace(grace: Option<Micros>) -> u64 {
     grace.map_or(0, |micros| micros / MICROS_PER_MILLI + 1)
 }
 
-/// Reads the stored form of a grace period.
+/// Returns the grace period with a given stored form.
 pub(super) fn decode_grace(stored: u64) -> Option<Micros> {
     stored
         .checked_sub(1)
@@ -77,23 +78,23 @@
 /// A state in the plain stored form: kind, attempt, machine, session, grace period.
 pub(super) type PlainState = (u8, u32, String, u64, u64);
 
-/// Kinds of the plain stored form.
-const WAITING: u8 = 0;
-const PLACED: u8 = 1;
-const DONE: u8 = 2;
+/// Values of the kind in the plain stored form.
+const KIND_WAITING: u8 = 0;
+const KIND_PLACED: u8 = 1;
+const KIND_DONE: u8 = 2;
 
 impl From<&TaskState> for PlainState {
     fn from(state: &TaskState) -> PlainState {
         match state {
-            TaskState::Waiting(attempts) => (WAITING, *attempts, String::new(), 0, 0),
+            TaskState::Waiting(attempts) => (KIND_WAITING, *attempts, String::new(), 0, 0),
             TaskState::Placed(placement) => (
-                PLACED,
+                KIND_PLACED,
                 placement.attempt,
                 placement.machine.to_string(),
                 placement.session,
                 encode_grace(placement.stop),
             ),
-            TaskState::Done => (DONE, 0, String::new(), 0, 0),
+            TaskState::Done => (KIND_DONE, 0, String::new(), 0, 0),
         }
     }
 }
@@ -101,13 +102,13 @@
 impl From<PlainState> for TaskState {
     fn from((kind, attempt, machine, session, grace): PlainState) -> TaskState {
         match kind {
-            PLACED => TaskState::Placed(Placement {
+            KIND_PLACED => TaskState::Placed(Placement {
                 attempt,
                 machine: machine.into(),
                 session,
                 stop: decode_grace(grace),
             }),
-            DONE => TaskState::Done,
+            KIND_DONE => TaskState::Done,
             _ => TaskState::Waiting(attempt),
         }
     }
@@ -126,12 +127,12 @@
     }
 }
 
-/// A task's name on the wire.
+/// Returns a task's name on the wire.
 pub fn task_name(job: &str, index: u32) -> String {
     format!("{job}/{index}")
 }
 
-/// Reads a task's name: its job and its index. `None` if it is not of that form.
+/// Splits a task's name into its job and its index; `None` if the name is malformed.
 pub fn parse_task(name: &str) -> Option<(&str, u32)> {
     let (job, index) = name.rsplit_once('/')?;
     Some((job, index.parse().ok()?))
