--- a/src/reconciliation/decide.rs
+++ b/src/reconciliation/decide.rs
@@ -1,9 +1,9 @@
-//! What one pass writes: which changes, in which order, as far as the write budget goes.
+//! Selects the changes that one reconciliation pass writes, and their order, within the write budget.
 //!
-//! Pure but for [`WriteSchedule`], which remembers from pass to pass when what was due; only the
-//! reconciliation loop changes it.
+//! The functions have no side effects except on [`WriteSchedule`], which keeps the times of pending and
+//! recent writes between passes; only the reconciliation loop changes it.
 
-use super::write_delay::{STOPPED_DELAY, write_delay};
+use super::write_delay::{STOPPED_TASK_WRITE_DELAY, write_delay};
 use crate::ids::MachineId;
 use crate::jobs::commit::{HasTeamLimit, JobChange, StagedTransaction, TransactionLimits, stage};
 use crate::jobs::model::{JobId, Resources};
@@ -13,121 +13,125 @@
 use foldhash::{HashMap, HashMapExt, HashSet};
 use std::collections::BTreeMap;
 
-/// Interval between placements of arrays and gangs: what becomes free meanwhile is one write.
-const ARRAY_ROUND: Micros = 2 * SECOND / 5;
-/// Arrays get their share of the budget at the latest after this, whatever else waits.
-const MAX_ARRAY_WAIT: Micros = 2 * SECOND;
-/// Share of a second's budget that arrays get then. A few writes place hundreds of tasks, so that
-/// this is enough for them never to starve behind a flood of services.
+/// Interval between placements of arrays and gangs. Resources freed within one interval are
+/// assigned with one write.
+const ARRAY_PLACEMENT_INTERVAL: Micros = 2 * SECOND / 5;
+/// Time after which arrays are overdue and get `OVERDUE_ARRAY_SHARE` regardless of other waiting writes.
+const ARRAY_OVERDUE_DELAY: Micros = 2 * SECOND;
+/// Share of a second's budget that overdue arrays may use. A few writes place hundreds of tasks, so this
+/// is enough to keep arrays from starving behind a large number of services.
 const OVERDUE_ARRAY_SHARE: f64 = 0.25;
 /// Share of the burst that placements of arrays leave to services and accepted submissions. Job ends
-/// leave none: with a reserve kept back they starved while the budget was short, and the next steps
-/// of pipelines with them.
-const ARRAY_RESERVE: f64 = 0.25;
-/// Share of the burst that bookkeeping leaves to everything else, arrays included.
-pub const BOOKKEEPING_RESERVE: f64 = 0.5;
-/// Bookkeeping that has waited longer than this is written from half the reserve of arrays on.
-const MAX_BOOKKEEPING_WAIT: Micros = 8 * SECOND;
-/// Job ends that are staged together at most: a larger transaction would overdraw the budget by more.
-const ENDS_PER_TRANSACTION: usize = 4;
-/// A plan covers this many jobs for each write that the budget allows, as some of what it finds cannot
-/// be staged.
+/// leave no reserve: with one, job ends and the pipeline steps that depend on them starved while the
+/// budget was short.
+const ARRAY_RESERVE_SHARE: f64 = 0.25;
+/// Share of the burst that bookkeeping leaves to all other writes, including arrays.
+pub const BOOKKEEPING_RESERVE_SHARE: f64 = 0.5;
+/// Time after which bookkeeping is overdue and leaves only half of `ARRAY_RESERVE_SHARE` as its reserve.
+const BOOKKEEPING_OVERDUE_DELAY: Micros = 8 * SECOND;
+/// Maximum number of job ends staged together. A larger transaction could overdraw the budget by more.
+const MAX_JOB_ENDS_PER_TRANSACTION: usize = 4;
+/// Number of jobs that a plan covers for each write that the budget allows, since some planned changes
+/// cannot be staged.
 const PLANNED_JOBS_PER_WRITE: usize = 2;
-/// Jobs that a plan covers beyond that, so that a budget near zero does not hide what could be staged.
+/// Additional jobs that a plan covers, so that a budget near zero does not exclude jobs whose changes
+/// could be staged.
 const EXTRA_PLANNED_JOBS: usize = 8;
 
-/// What a pass wants of a plan.
+/// Parameters of the plan that a pass requests.
 pub struct PlanRequest<'a> {
-    /// Resources of tasks that have left their machine, although their blocks do not say so yet.
+    /// Resources of tasks that have left their machine, by machine. The stored task blocks do not record
+    /// this yet.
     pub freed: &'a HashMap<MachineId, Resources>,
     /// Whether arrays are placed.
     pub arrays: bool,
     /// Whether gangs and pipeline steps with a deadline are placed.
     pub deadline_steps: bool,
-    /// Number of jobs for which something can be written; `None` for any number.
+    /// Number of jobs for which changes can be written; `None` for no limit.
     pub max_jobs: Option<usize>,
 }
 
-/// Makes the plan of a pass.
+/// Computes the plan of a pass.
 pub type Planner<'a> = &'a dyn Fn(&PlanRequest<'_>) -> Vec<JobChange>;
 
-/// This controller's share of the state service's limit of mutations.
+/// This controller's share of the state service's mutation limit, as a token bucket.
 #[derive(Clone, Copy, Debug)]
 pub struct WriteBudget {
-    /// Mutations that can be written at once; negative if the budget is overdrawn.
+    /// Number of mutations that can be written now; negative if the budget is overdrawn.
     pub available: f64,
-    /// The most that `available` ever is.
+    /// Maximum of `available`.
     pub burst: f64,
 }
 
-/// What a pass decides on.
+/// Input of one pass.
 pub struct ReconcileInput<'a> {
-    /// The cluster state as this controller sees it.
+    /// Cluster state in this controller's watch cache.
     pub view: &'a ClusterState,
-    /// What heartbeats prove about attempts and the blocks do not say yet, by machine.
+    /// Ended attempts, by machine, that heartbeats prove and the stored task blocks do not record yet.
     pub ended_attempts: &'a BTreeMap<MachineId, Vec<JobChange>>,
     /// Jobs with a transaction in flight.
     pub jobs_in_flight: &'a HashSet<JobId>,
-    /// What may be written.
+    /// Mutations that may be written.
     pub write_budget: WriteBudget,
     /// Limits of a transaction.
     pub limits: TransactionLimits,
-    /// Tells the teams with limits.
+    /// Returns whether a team has a limit.
     pub has_team_limit: HasTeamLimit<'a>,
-    /// Makes the plan.
+    /// Computes the plan.
     pub plan: Planner<'a>,
     /// Monotonic time of the pass.
     pub now: Micros,
 }
 
-/// What is remembered from pass to pass about writes that wait.
+/// Times of pending writes and of the last placements, kept between passes.
 #[derive(Default)]
 pub struct WriteSchedule {
-    /// Since when a job has ended attempts that are not written.
+    /// Time since which a job has ended attempts that are not written.
     unwritten_since: HashMap<JobId, Micros>,
-    last_array_round: Micros,
-    last_deadline_step_round: Micros,
+    last_array_placement: Micros,
+    last_deadline_step_placement: Micros,
 }
 
-/// Ended attempts of jobs that the view knows.
+/// Ended attempts of jobs that are in the view.
 struct EndedAttempts {
-    /// Resources that they leave, by machine.
+    /// Resources that the ended attempts free, by machine.
     freed: HashMap<MachineId, Resources>,
     by_job: BTreeMap<JobId, Vec<JobChange>>,
 }
 
-/// A job with ended attempts whose write is due, and since when they are known.
+/// A job with ended attempts whose write is due, and the time since which the ends are known.
 type DueJob<'a> = (Micros, &'a JobId);
 
-/// Writes that are due, apart from what the plan asks for.
+/// Writes that are due, excluding the changes of the plan.
 struct DueWrites<'a> {
-    /// Ends of jobs, and ends of attempts that someone waits for.
+    /// Ends of jobs, and ends of attempts that delay other work.
     urgent: Vec<DueJob<'a>>,
-    /// The others.
+    /// All other ends of attempts.
     bookkeeping: Vec<DueJob<'a>>,
 }
 
-/// What takes part in the plan of a pass.
+/// Kinds of jobs that the plan of a pass includes, and the budget of arrays.
 struct PlanRound {
-    arrays: bool,
-    deadline_steps: bool,
-    /// Whether arrays have waited too long and may overdraw the budget.
+    place_arrays: bool,
+    place_deadline_steps: bool,
+    /// Whether arrays have waited for `ARRAY_OVERDUE_DELAY` and may overdraw the budget.
     arrays_overdue: bool,
-    /// Share of the burst that placements of arrays leave to others.
+    /// Share of the burst that placements of arrays leave to other writes.
     array_reserve: f64,
 }
 
-/// The changes of a plan, in the order of their writes.
+/// Changes of a plan, in the order in which they are written.
 struct PlannedChanges {
-    /// For services, gangs and pipeline steps with a deadline: a list a job, in the plan's order.
-    first: Vec<Vec<JobChange>>,
+    /// Changes of services, gangs and pipeline steps with a deadline: one list per job, in the order of
+    /// the plan.
+    prioritized: Vec<Vec<JobChange>>,
     /// Placements of other arrays.
-    arrays: Vec<JobChange>,
+    array_placements: Vec<JobChange>,
 }
 
 impl WriteSchedule {
-    /// The transactions of this pass, the most urgent first, as far as the write budget goes. What is
-    /// left out is found again in the next pass.
+    /// Returns the transactions of this pass that fit the write budget, the most urgent first. Changes
+    /// that do not fit are computed again in the next pass.
     pub fn decide(&mut self, input: &ReconcileInput<'_>) -> Vec<StagedTransaction> {
         let ended = EndedAttempts::collect(input);
         let mut due = self.due_writes(input, &ended);
@@ -136,32 +140,31 @@
         };
         let planned = plan(input, &ended, &round);
         let mut stager = Stager::new(input);
-        for changes in &planned.first {
+        for changes in &planned.prioritized {
             stager.add(changes, 0.0);
         }
-        for jobs in due.urgent.chunks(ENDS_PER_TRANSACTION) {
+        for jobs in due.urgent.chunks(MAX_JOB_ENDS_PER_TRANSACTION) {
             stager.add(&ended.with_finalize(jobs), 0.0);
         }
-        for placement in planned.arrays {
-            let mut changes = ended.of_job(placement.job());
+        for placement in planned.array_placements {
+            let mut changes = ended.for_job(placement.job());
             changes.push(placement);
             stager.add(&changes, round.array_reserve);
         }
         due.bookkeeping.sort();
         for (since, job) in due.bookkeeping {
-            let overdue = input.now.saturating_sub(since) > MAX_BOOKKEEPING_WAIT;
+            let overdue = input.now.saturating_sub(since) > BOOKKEEPING_OVERDUE_DELAY;
             let reserve = match overdue {
-                true => ARRAY_RESERVE / 2.0,
-                false => BOOKKEEPING_RESERVE,
+                true => ARRAY_RESERVE_SHARE / 2.0,
+                false => BOOKKEEPING_RESERVE_SHARE,
             };
             stager.add(&ended.by_job[job], reserve);
         }
         stager.staged
     }
 
-    /// Finds the writes that are due. Urgent ones are sorted so that those that other jobs wait for
-    /// and the longest known come first: what is left out for want of budget must not be the same jobs
-    /// each time.
+    /// Returns the writes that are due. Urgent writes are sorted by whether other jobs depend on the job
+    /// and then by age, so that a short budget does not leave out the same jobs in every pass.
     fn due_writes<'a>(
         &mut self,
         input: &ReconcileInput<'a>,
@@ -183,12 +186,12 @@
             if input.now.saturating_sub(since) < delay {
                 continue;
             }
-            match delay <= STOPPED_DELAY {
+            match delay <= STOPPED_TASK_WRITE_DELAY {
                 true => due.urgent.push((since, id)),
                 false => due.bookkeeping.push((since, id)),
             }
         }
-        // Jobs that have ended, and those that were cancelled before they were placed.
+        // Jobs that have ended, and jobs that were cancelled before they were placed.
         let finished = &view.indexes().finished;
         due.urgent.extend(finished.iter().map(|id| (0, id)));
         due.urgent
@@ -196,33 +199,35 @@
         due
     }
 
-    /// What takes part in the plan of this pass. `None` while nothing can be written, so that nothing
-    /// needs to be worked out.
+    /// Selects the kinds of jobs that the plan of this pass includes. Returns `None` while nothing can be
+    /// written, so that no plan is computed.
     fn next_round(&mut self, input: &ReconcileInput<'_>) -> Option<PlanRound> {
         let WriteBudget { available, burst } = input.write_budget;
         let now = input.now;
-        let waited = now.saturating_sub(self.last_array_round);
-        let arrays_overdue = waited >= MAX_ARRAY_WAIT;
+        let waited = now.saturating_sub(self.last_array_placement);
+        let arrays_overdue = waited >= ARRAY_OVERDUE_DELAY;
         if available < 0.0 && !arrays_overdue {
             return None;
         }
-        let arrays = waited >= ARRAY_ROUND && (arrays_overdue || available > burst * ARRAY_RESERVE);
+        let place_arrays = waited >= ARRAY_PLACEMENT_INTERVAL
+            && (arrays_overdue || available > burst * ARRAY_RESERVE_SHARE);
         let array_reserve = match arrays_overdue {
-            true => ARRAY_RESERVE.min(available / burst - OVERDUE_ARRAY_SHARE),
-            false => ARRAY_RESERVE,
+            true => ARRAY_RESERVE_SHARE.min(available / burst - OVERDUE_ARRAY_SHARE),
+            false => ARRAY_RESERVE_SHARE,
         };
-        if arrays {
-            self.last_array_round = now;
+        if place_arrays {
+            self.last_array_placement = now;
         }
-        // Never arrays without pipeline steps: these come first, and would find their resources taken.
-        let deadline_steps =
-            arrays || now.saturating_sub(self.last_deadline_step_round) >= ARRAY_ROUND;
-        if deadline_steps {
-            self.last_deadline_step_round = now;
+        // Arrays are never placed without pipeline steps: steps have precedence, and arrays would take
+        // their resources.
+        let place_deadline_steps = place_arrays
+            || now.saturating_sub(self.last_deadline_step_placement) >= ARRAY_PLACEMENT_INTERVAL;
+        if place_deadline_steps {
+            self.last_deadline_step_placement = now;
         }
         Some(PlanRound {
-            arrays,
-            deadline_steps,
+            place_arrays,
+            place_deadline_steps,
             arrays_overdue,
             array_reserve,
         })
@@ -255,12 +260,12 @@
         ended
     }
 
-    /// A job's ended attempts: whatever else is written of a job takes them along.
-    fn of_job(&self, job: &JobId) -> Vec<JobChange> {
+    /// Returns the ended attempts of a job. They are included in any other write of the job.
+    fn for_job(&self, job: &JobId) -> Vec<JobChange> {
         self.by_job.get(job).cloned().unwrap_or_default()
     }
 
-    /// The changes that write the ended attempts of jobs, and their ends where they have ended.
+    /// Returns the changes that record the ended attempts of jobs and finalize the jobs that have ended.
     fn with_finalize(&self, jobs: &[DueJob<'_>]) -> Vec<JobChange> {
         jobs.iter()
             .flat_map(|(_, id)| {
@@ -271,52 +276,52 @@
     }
 }
 
-/// Makes the plan and sorts its changes by urgency.
+/// Computes the plan and groups its changes by urgency.
 fn plan(input: &ReconcileInput<'_>, ended: &EndedAttempts, round: &PlanRound) -> PlannedChanges {
     let writes = input.write_budget.available as usize;
     let changes = (input.plan)(&PlanRequest {
         freed: &ended.freed,
-        arrays: round.arrays,
-        deadline_steps: round.deadline_steps,
-        // Overdue arrays have a share of their own, whatever stands before them.
+        arrays: round.place_arrays,
+        deadline_steps: round.place_deadline_steps,
+        // Overdue arrays have a separate share of the budget, regardless of the jobs ahead of them.
         max_jobs: (!round.arrays_overdue)
             .then(|| writes * PLANNED_JOBS_PER_WRITE + EXTRA_PLANNED_JOBS),
     });
     let mut planned = PlannedChanges {
-        first: Vec::new(),
-        arrays: Vec::new(),
+        prioritized: Vec::new(),
+        array_placements: Vec::new(),
     };
     let mut positions: HashMap<JobId, usize> = HashMap::new();
     for change in changes {
         if places_array(input.view, &change) {
-            planned.arrays.push(change);
+            planned.array_placements.push(change);
             continue;
         }
         let job = change.job();
         let position = *positions.entry(job.clone()).or_insert_with(|| {
-            planned.first.push(ended.of_job(job));
-            planned.first.len() - 1
+            planned.prioritized.push(ended.for_job(job));
+            planned.prioritized.len() - 1
         });
-        planned.first[position].push(change);
+        planned.prioritized[position].push(change);
     }
     planned
 }
 
-/// Whether a change places tasks of an array. Arrays that are pipeline steps with a deadline are
-/// written with services and gangs.
+/// Returns whether a change places tasks of an array. Pipeline steps with a deadline are excluded: they
+/// are written with services and gangs.
 fn places_array(view: &ClusterState, change: &JobChange) -> bool {
     matches!(change, JobChange::Place { job, .. } if view.jobs.get(job).is_some_and(|job| {
         job.spec.kind == JobKind::Array && !job.is_deadline_step()
     }))
 }
 
-/// Stages changes as long as the write budget lasts.
+/// Stages changes until the write budget is used up.
 struct Stager<'a> {
     input: &'a ReconcileInput<'a>,
-    /// What is left of the budget.
+    /// Remaining mutations of the budget.
     available: f64,
-    /// Jobs with a transaction in flight, or one of this pass.
-    busy: HashSet<JobId>,
+    /// Jobs with a transaction in flight or staged in this pass.
+    jobs_in_flight: HashSet<JobId>,
     staged: Vec<StagedTransaction>,
 }
 
@@ -325,13 +330,14 @@
         Stager {
             input,
             available: input.write_budget.available,
-            busy: input.jobs_in_flight.clone(),
+            jobs_in_flight: input.jobs_in_flight.clone(),
             staged: Vec::new(),
         }
     }
 
-    /// Stages changes while the budget is not below this share of its burst. Users who wait for an
-    /// answer come before all of it, and what cannot be written now is not even worked out.
+    /// Stages changes while the budget is at least the `reserve` share of its burst. Requests of users
+    /// who wait for an answer have precedence over all of these writes, and changes that cannot be
+    /// written now are not computed.
     fn add(&mut self, changes: &[JobChange], reserve: f64) {
         let input = self.input;
         let min_available = input.write_budget.burst * reserve;
@@ -341,7 +347,7 @@
         let transactions = stage(
             input.view,
             changes,
-            &self.busy,
+            &self.jobs_in_flight,
             input.has_team_limit,
             input.limits,
         );
@@ -350,13 +356,13 @@
                 return;
             }
             self.available -= transaction.transaction.mutations.len() as f64;
-            self.log(changes, &transaction, reserve);
-            self.busy.extend(transaction.jobs.iter().cloned());
+            self.log_staged(changes, &transaction, reserve);
+            self.jobs_in_flight.extend(transaction.jobs.iter().cloned());
             self.staged.push(transaction);
         }
     }
 
-    fn log(&self, changes: &[JobChange], staged: &StagedTransaction, reserve: f64) {
+    fn log_staged(&self, changes: &[JobChange], staged: &StagedTransaction, reserve: f64) {
         if !tracing::enabled!(tracing::Level::DEBUG) {
             return;
         }
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -1,8 +1,8 @@
-//! The reconciliation loop: compares the cluster state with the machines' heartbeats, pass by pass, and
-//! writes and commands what follows.
+//! The reconciliation loop: each pass compares the cluster state with the machines' heartbeats, writes the
+//! resulting changes and sends commands to the workers.
 //!
-//! Owns [`Reconciler`]: when which step ran last, the jobs with a transaction in flight, and what
-//! heartbeats prove about attempts before it is written. Only this loop changes it.
+//! Owns [`Reconciler`]: the time at which each step last ran, the jobs with a transaction in flight, and
+//! the ended attempts that heartbeats prove before they are written. Only this loop changes it.
 
 pub mod decide;
 mod planning;
@@ -17,77 +17,78 @@
 use crate::store::cluster_state::ClusterState;
 use crate::time::{MILLI, Micros, SECOND};
 use crate::workers::{self, WorkerState};
-use decide::{BOOKKEEPING_RESERVE, PlanRequest, ReconcileInput, WriteBudget, WriteSchedule};
+use decide::{BOOKKEEPING_RESERVE_SHARE, PlanRequest, ReconcileInput, WriteBudget, WriteSchedule};
 use foldhash::HashSet;
 use futures_lite::FutureExt;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Shortest pause between two passes.
-const MIN_PAUSE: Micros = 40 * MILLI;
-/// The pause is at least this many times what the pass took, so that heartbeats and users are answered
-/// while there is much to decide.
-const PAUSE_PER_PASS_TIME: u64 = 4;
-/// Longest wait for a change before a pass runs without one.
+/// Minimum pause between two passes.
+const MIN_PASS_PAUSE: Micros = 40 * MILLI;
+/// Minimum ratio of the pause to the duration of the pass before it, so that heartbeats and user requests
+/// are answered while passes are long.
+const MIN_PAUSE_TO_PASS_RATIO: u64 = 4;
+/// Maximum wait for a change before a pass runs without one.
 const IDLE_PASS_INTERVAL: Micros = SECOND / 5;
-/// Machines that are unsettled or silent are compared with their task blocks this often.
+/// Interval at which machines that need commands, are not fenced or have an overdue heartbeat (unsettled
+/// machines) are compared with their task blocks.
 const UNSETTLED_CHECK_INTERVAL: Micros = SECOND;
-/// Every machine is compared with its task blocks this often. What changes meanwhile is seen when it
-/// changes.
-const FULL_SWEEP_INTERVAL: Micros = 5 * SECOND;
-/// The time between two full sweeps is at least this many times what the last one took, so that a
-/// large cluster does not spend all its processor time on them.
-const SWEEP_INTERVAL_PER_SWEEP_TIME: u64 = 12;
-/// Silent machines are looked for, and machines' keys written, this often.
-const SILENCE_CHECK_INTERVAL: Micros = SECOND / 5;
-/// Time that the jobs of a refused transaction stay in flight, so that it is not tried again at once.
-const REFUSED_PAUSE: Micros = SECOND / 8;
-/// Share of the state service's request limit that the controllers that are alive divide evenly. The
-/// rest is for requests that are not counted here (lease renewals) and for clocks that differ.
+/// Minimum interval at which every machine is compared with its task blocks. Between two full sweeps
+/// only machines that changed or are unsettled are compared.
+const MIN_FULL_SWEEP_INTERVAL: Micros = 5 * SECOND;
+/// Minimum ratio of the full sweep interval to the duration of the last full sweep, so that sweeps of a
+/// large cluster do not use all processor time.
+const MIN_INTERVAL_TO_SWEEP_RATIO: u64 = 12;
+/// Interval at which overdue heartbeats are checked and machine records written.
+const HEARTBEAT_CHECK_INTERVAL: Micros = SECOND / 5;
+/// Time for which the jobs of a refused transaction stay in flight, so that it is not retried at once.
+const REFUSAL_RETRY_DELAY: Micros = SECOND / 8;
+/// Share of the state service's request limit that the live controllers divide evenly. The rest covers
+/// requests that this budget does not count (lease renewals) and clock skew.
 pub const REQUEST_SHARE: f64 = 0.94;
-/// The same for the limit of mutations.
+/// Share of the state service's mutation limit that the live controllers divide evenly.
 pub const WRITE_SHARE: f64 = 0.97;
 
-/// What the reconciliation loop remembers.
+/// State of the reconciliation loop.
 #[derive(Default)]
 pub struct Reconciler {
     write_schedule: RefCell<WriteSchedule>,
     /// Jobs with a transaction in flight.
     jobs_in_flight: RefCell<HashSet<JobId>>,
-    /// What heartbeats prove about attempts and the blocks do not say yet, by machine.
+    /// Ended attempts, by machine, that heartbeats prove and the stored task blocks do not record yet.
     ended_attempts: RefCell<BTreeMap<MachineId, Vec<JobChange>>>,
     last_unsettled_check: Cell<Micros>,
     last_full_sweep: Cell<Micros>,
     full_sweep_interval: Cell<Micros>,
-    last_silence_check: Cell<Micros>,
+    last_heartbeat_check: Cell<Micros>,
     adoption: RefCell<Adoption>,
 }
 
-/// What machines were last adopted on, and when.
+/// Inputs and time of the last adoption of machines.
 #[derive(Default)]
 struct Adoption {
     machines_epoch: u64,
-    /// Our term of each shard that we owned.
+    /// This controller's term of each shard, by shard; `None` for shards that it did not own.
     terms: Vec<Option<u64>>,
-    at: Micros,
+    adopted_at: Micros,
 }
 
-/// What a pass looks at.
+/// Machines that a pass examines, and the time and terms of the pass.
 struct PassScope {
     now: Micros,
-    /// Our term of each shard that we own.
+    /// This controller's term of each shard, by shard; `None` for shards that it does not own.
     terms: Vec<Option<u64>>,
-    /// Whether every machine is looked at.
+    /// Whether every machine is examined.
     full_sweep: bool,
-    /// Whether unsettled machines are.
+    /// Whether unsettled machines are examined.
     unsettled_check: bool,
-    /// Machines whose heartbeat or tasks changed, and those that are unsettled if it is time.
-    changed: HashSet<MachineId>,
+    /// Machines whose heartbeat or tasks changed and, in an unsettled check, unsettled machines.
+    changed_machines: HashSet<MachineId>,
 }
 
 impl Controller {
-    /// Runs passes: one when something changed, and one a while after the last.
+    /// Runs a pass after each change, and after `IDLE_PASS_INTERVAL` without a change.
     pub async fn reconcile_loop(self: Rc<Controller>) {
         loop {
             if !self.watch_cache.notifier().take_notified() {
@@ -99,22 +100,23 @@
             }
             let started = self.clock.now();
             if self.watch_cache.loaded() {
-                self.pass();
+                self.run_pass();
             }
-            let took = self.clock.now().saturating_sub(started);
-            self.sleep(MIN_PAUSE.max(took * PAUSE_PER_PASS_TIME)).await;
+            let elapsed = self.clock.now().saturating_sub(started);
+            self.sleep(MIN_PASS_PAUSE.max(elapsed * MIN_PAUSE_TO_PASS_RATIO))
+                .await;
         }
     }
 
-    /// Our term of each shard; `None` for shards that we do not own.
+    /// Returns this controller's term of each shard, by shard; `None` for shards that it does not own.
     pub fn terms(&self, view: &ClusterState) -> Vec<Option<u64>> {
         (0..SHARD_COUNT)
             .map(|shard| self.term(view, shard))
             .collect()
     }
 
-    /// One pass: everything that follows from the cluster state and the heartbeats as they are now.
-    fn pass(self: &Rc<Controller>) {
+    /// Runs one pass over the current cluster state and heartbeats: writes changes and sends commands.
+    fn run_pass(self: &Rc<Controller>) {
         let mut scope = self.pass_scope();
         let staged = {
             let view = self.watch_cache.view();
@@ -122,54 +124,55 @@
             self.adopt_machines_if_due(&view, &scope);
             if self.watch_cache.current() {
                 self.collect_ended_attempts(&view, &scope);
-                self.decide(&view, &scope)
+                self.stage_transactions(&view, &scope)
             } else {
                 Vec::new()
             }
         };
-        self.check_silence_if_due(&mut scope);
+        self.check_heartbeats_if_due(&mut scope);
         for transaction in staged {
             self.spawn_commit(transaction);
         }
-        let only = (!scope.full_sweep).then_some(&scope.changed);
-        self.dispatch_commands(scope.now, only);
+        let dispatch_to = (!scope.full_sweep).then_some(&scope.changed_machines);
+        self.dispatch_commands(scope.now, dispatch_to);
         if scope.full_sweep {
-            let took = self.clock.now().saturating_sub(scope.now);
-            let interval = FULL_SWEEP_INTERVAL.max(took * SWEEP_INTERVAL_PER_SWEEP_TIME);
+            let elapsed = self.clock.now().saturating_sub(scope.now);
+            let interval = MIN_FULL_SWEEP_INTERVAL.max(elapsed * MIN_INTERVAL_TO_SWEEP_RATIO);
             self.reconciler.last_full_sweep.set(scope.now);
             self.reconciler.full_sweep_interval.set(interval);
         }
     }
 
-    /// Decides what a pass looks at. Between two full sweeps that is only machines that sent a
-    /// heartbeat or whose tasks changed, and now and then the unsettled ones.
+    /// Selects the machines that a pass examines. Between two full sweeps these are only machines that
+    /// sent a heartbeat or whose tasks changed and, every `UNSETTLED_CHECK_INTERVAL`, unsettled machines.
     fn pass_scope(&self) -> PassScope {
         let now = self.clock.now();
         let reconciler = &self.reconciler;
         let terms = self.terms(&self.watch_cache.view());
         let full_sweep = now.saturating_sub(reconciler.last_full_sweep.get())
             >= reconciler.full_sweep_interval.get();
-        let mut changed = self.workers.take_changed();
-        changed.extend(self.watch_cache.take_changed_machines());
+        let mut changed_machines = self.workers.take_changed();
+        changed_machines.extend(self.watch_cache.take_changed_machines());
         let unsettled_check =
             now.saturating_sub(reconciler.last_unsettled_check.get()) >= UNSETTLED_CHECK_INTERVAL;
         if unsettled_check {
             reconciler.last_unsettled_check.set(now);
-            // Silent: the next heartbeat is overdue by a quarter of the interval.
-            let silent_after = self.settings.heartbeat_interval * 5 / 4;
-            changed.extend(self.workers.unsettled(silent_after, now));
-            changed.extend(reconciler.ended_attempts.borrow().keys().cloned());
+            // A heartbeat is overdue a quarter of its interval after it was expected.
+            let overdue_after = self.settings.heartbeat_interval * 5 / 4;
+            changed_machines.extend(self.workers.unsettled(overdue_after, now));
+            changed_machines.extend(reconciler.ended_attempts.borrow().keys().cloned());
         }
         PassScope {
             now,
             terms,
             full_sweep,
             unsettled_check,
-            changed,
+            changed_machines,
         }
     }
 
-    /// Keeps our share of the state service's limits: controllers that are alive divide them evenly.
+    /// Updates this controller's share of the state service's limits: the live controllers divide them
+    /// evenly.
     fn update_budget_share(&self, view: &ClusterState) {
         let alive = view.members.len().clamp(1, self.settings.peers.len() + 1) as f64;
         let limits = self.state_limits();
@@ -179,12 +182,13 @@
         );
     }
 
-    /// Adopts machines of our shards: at every check, at once when our terms change, and soon after
-    /// machines come or go, which on a large cluster they do all the time.
+    /// Adopts the machines of this controller's shards: at every unsettled check, immediately after a
+    /// term changes, and after machines are added or removed at most every `HEARTBEAT_CHECK_INTERVAL`,
+    /// since on a large cluster this happens all the time.
     fn adopt_machines_if_due(&self, view: &ClusterState, scope: &PassScope) {
         let changed = {
             let last = self.reconciler.adoption.borrow();
-            let due = scope.now.saturating_sub(last.at) >= SILENCE_CHECK_INTERVAL;
+            let due = scope.now.saturating_sub(last.adopted_at) >= HEARTBEAT_CHECK_INTERVAL;
             last.terms != scope.terms || (due && last.machines_epoch != view.machines_epoch)
         };
         if !scope.unsettled_check && !changed {
@@ -194,11 +198,11 @@
         *self.reconciler.adoption.borrow_mut() = Adoption {
             machines_epoch: view.machines_epoch,
             terms: scope.terms.clone(),
-            at: scope.now,
+            adopted_at: scope.now,
         };
     }
 
-    /// Collects what the machines' heartbeats prove about attempts.
+    /// Collects the ended attempts that the machines' heartbeats prove.
     fn collect_ended_attempts(&self, view: &ClusterState, scope: &PassScope) {
         let machines = self.workers.machines();
         let mut ended = self.reconciler.ended_attempts.borrow_mut();
@@ -217,7 +221,7 @@
                 collect(id, worker);
             }
         } else {
-            for id in &scope.changed {
+            for id in &scope.changed_machines {
                 if let Some(worker) = machines.get(id) {
                     collect(id, worker);
                 }
@@ -226,8 +230,8 @@
         ended.retain(|id, _| machines.contains_key(id));
     }
 
-    /// The transactions of this pass.
-    fn decide(&self, view: &ClusterState, scope: &PassScope) -> Vec<StagedTransaction> {
+    /// Returns the transactions of this pass.
+    fn stage_transactions(&self, view: &ClusterState, scope: &PassScope) -> Vec<StagedTransaction> {
         let has_team_limit = |team: &str| {
             self.settings
                 .team(team)
@@ -253,18 +257,19 @@
         WriteBudget { available, burst }
     }
 
-    /// Writes the machines' keys and looks for silent machines, which are added to the scope.
-    fn check_silence_if_due(self: &Rc<Controller>, scope: &mut PassScope) {
+    /// Writes the machine records and adds machines with an overdue heartbeat to the scope, if a check is
+    /// due.
+    fn check_heartbeats_if_due(self: &Rc<Controller>, scope: &mut PassScope) {
         let now = scope.now;
-        let last = &self.reconciler.last_silence_check;
-        if scope.full_sweep || now.saturating_sub(last.get()) >= SILENCE_CHECK_INTERVAL {
+        let last = &self.reconciler.last_heartbeat_check;
+        if scope.full_sweep || now.saturating_sub(last.get()) >= HEARTBEAT_CHECK_INTERVAL {
             last.set(now);
             self.write_machine_records(now);
-            self.add_overdue_machines(now, &mut scope.changed);
+            self.add_overdue_machines(now, &mut scope.changed_machines);
         }
     }
 
-    /// Commits a transaction beside the loop. Its jobs count as in flight until the outcome is known.
+    /// Commits a transaction in a separate task. Its jobs are in flight until the outcome is known.
     fn spawn_commit(self: &Rc<Controller>, staged: StagedTransaction) {
         self.reconciler
             .jobs_in_flight
@@ -285,8 +290,8 @@
             .detach();
     }
 
-    /// Commits a transaction. Whatever the outcome, the next passes decide anew on what is then in the
-    /// cluster state; after a conflict or no answer that must be read again first.
+    /// Commits a transaction. For every outcome, the next passes decide from the cluster state of that
+    /// time. After a conflict or a missing answer, the state is read again first.
     async fn commit(&self, staged: &StagedTransaction) {
         match self.watch_cache.transaction(&staged.transaction).await {
             TransactionOutcome::Done(_) => {}
@@ -296,16 +301,17 @@
             }
             TransactionOutcome::Refused(code) => {
                 tracing::debug!(code, "transaction refused by the state service");
-                self.sleep(REFUSED_PAUSE).await;
+                self.sleep(REFUSAL_RETRY_DELAY).await;
             }
             TransactionOutcome::Unknown => {
-                // It may have been carried out, or may yet be: its preconditions keep that harmless.
+                // The transaction may have been applied or may be applied later. Its preconditions make
+                // either case harmless.
                 self.watch_cache.linearizable_read().await;
             }
         }
     }
 
-    /// Deletes keys that ended jobs left behind.
+    /// Deletes remaining keys of ended jobs.
     pub async fn clean(&self) {
         loop {
             let transaction = collect_garbage(&self.watch_cache.view(), self.limits());
@@ -316,9 +322,9 @@
                 TransactionOutcome::Done(_) => {}
                 _ => return,
             }
-            // More of it only with writes that nobody else needs.
+            // Continues only with the part of the write budget that no other write needs.
             let WriteBudget { available, burst } = self.write_budget();
-            if available < burst * BOOKKEEPING_RESERVE {
+            if available < burst * BOOKKEEPING_RESERVE_SHARE {
                 return;
             }
         }
--- a/src/reconciliation/planning.rs
+++ b/src/reconciliation/planning.rs
@@ -1,5 +1,5 @@
-//! Makes the plan of a pass: which jobs and machines of the cluster are this controller's to plan, and
-//! which of the others' it may take over.
+//! Computes the plan of a pass: selects the jobs and machines that this controller plans, and the jobs and
+//! machines of other controllers that it may use.
 
 use super::decide::PlanRequest;
 use crate::autoscaler::model::{MachineRecord, MachineState};
@@ -16,19 +16,20 @@
 use std::cell::OnceCell;
 use std::collections::BTreeMap;
 
-/// Waiting tasks of another controller's service are placed only after this: their owner comes first.
-const TAKE_SERVICE_AFTER: Micros = 6 * SECOND / 5;
-/// The same for arrays.
-const TAKE_ARRAY_AFTER: Micros = 3 * SECOND;
-/// The same for pipeline steps with a deadline, which have little time to lose.
-const TAKE_DEADLINE_STEP_AFTER: Micros = 4 * SECOND / 5;
-/// The same for jobs whose owner is not alive.
-const TAKE_ORPHAN_AFTER: Micros = 3 * SECOND / 10;
-/// The owner of this shard places gangs, so that only one controller at a time does.
+/// Time for which tasks of another controller's service wait before this controller places them: the
+/// owner has precedence.
+const SERVICE_TAKEOVER_DELAY: Micros = 6 * SECOND / 5;
+/// Takeover delay for arrays.
+const ARRAY_TAKEOVER_DELAY: Micros = 3 * SECOND;
+/// Takeover delay for pipeline steps with a deadline; it is short because of the deadline.
+const DEADLINE_STEP_TAKEOVER_DELAY: Micros = 4 * SECOND / 5;
+/// Takeover delay for jobs whose owner is not alive.
+const ORPHANED_JOB_TAKEOVER_DELAY: Micros = 3 * SECOND / 10;
+/// Shard whose owner places gangs, so that only one controller at a time places them.
 const GANG_SHARD: u32 = 0;
 
 impl Controller {
-    /// The plan for our machines, and for gangs if these fall to us.
+    /// Returns the plan for this controller's machines, and for gangs if it owns `GANG_SHARD`.
     pub(super) fn plan(
         &self,
         view: &ClusterState,
@@ -47,12 +48,12 @@
             terms,
             machines: &machines,
             now,
-            uses_peers_machines: uses_peers_machines(view, terms, place_gangs),
+            uses_peer_machines: uses_peer_machines(view, terms, place_gangs),
             many_inbound_partitions: OnceCell::new(),
         };
         let owns = |name: &str| owns(terms, name);
         let schedulable = |id: &MachineId, record: &MachineRecord| scope.schedulable(id, record);
-        let in_backoff = |job: &str| scope.in_backoff(job);
+        let in_backoff = |job: &str| scope.placement_deferred(job);
         let in_flight = self.reconciler.jobs_in_flight.borrow();
         let busy = |id: &JobId| in_flight.contains(id);
         scheduling::schedule(&SchedulingInput {
@@ -75,14 +76,15 @@
     }
 }
 
-/// Whether a job or machine belongs to a shard of ours: jobs belong to shards as machines do.
+/// Returns whether this controller owns the shard of a job or machine. Jobs and machines are assigned to
+/// shards in the same way.
 fn owns(terms: &[Option<u64>], name: &str) -> bool {
     terms[shard_of(name) as usize].is_some()
 }
 
-/// Whether tasks wait that may be placed on machines of other controllers: gangs, if they fall to us,
-/// and services of ours.
-fn uses_peers_machines(view: &ClusterState, terms: &[Option<u64>], place_gangs: bool) -> bool {
+/// Returns whether tasks are queued that may be placed on machines of other controllers: gangs, if this
+/// controller places them, and this controller's services.
+fn uses_peer_machines(view: &ClusterState, terms: &[Option<u64>], place_gangs: bool) -> bool {
     let is_queued_gang = |job: &Job| job.spec.kind == JobKind::Gang && job.queued() > 0;
     let gang_waits = place_gangs && view.waiting().any(|(_, job)| is_queued_gang(job));
     gang_waits
@@ -91,23 +93,23 @@
             .any(|(id, job)| job.queued() > 0 && owns(terms, id))
 }
 
-/// What the questions of the scheduler are answered from.
+/// Context of the scheduler's callbacks in one pass.
 struct PlanScope<'a> {
     controller: &'a Controller,
     view: &'a ClusterState,
-    /// Our term of each shard that we own.
+    /// This controller's term of each shard, by shard; `None` for shards that it does not own.
     terms: &'a [Option<u64>],
-    /// The machines that we drive.
+    /// Machines that this controller manages.
     machines: &'a BTreeMap<MachineId, WorkerState>,
     now: Micros,
-    uses_peers_machines: bool,
-    /// Worked out when it is first asked for, which is seldom: without machines in an inbound
-    /// partition no plan looks at all of them.
+    uses_peer_machines: bool,
+    /// Whether many machines are in an inbound partition. Computed on first use, which is rare: without
+    /// machines in an inbound partition no plan has to iterate over all machines.
     many_inbound_partitions: OnceCell<bool>,
 }
 
 impl PlanScope<'_> {
-    /// Whether, and in which session, a machine may be given tasks.
+    /// Returns the session in which a machine may be given tasks; `None` if it may not.
     fn schedulable(&self, id: &MachineId, record: &MachineRecord) -> Option<SchedulableMachine> {
         if !matches!(record.state, MachineState::Up | MachineState::Booting) {
             return None;
@@ -124,7 +126,7 @@
                 owned: true,
             });
         }
-        if !self.uses_peers_machines || owns(self.terms, id) {
+        if !self.uses_peer_machines || owns(self.terms, id) {
             return None;
         }
         let session = match record.state {
@@ -137,7 +139,7 @@
         })
     }
 
-    /// Whether a machine is in an inbound partition together with many others.
+    /// Returns whether a machine and many others are in an inbound partition.
     fn in_many_inbound_partitions(&self, worker: &WorkerState) -> bool {
         worker.inbound_partition()
             && *self
@@ -145,9 +147,9 @@
                 .get_or_init(|| workers::many_inbound_partitions(self.machines))
     }
 
-    /// Whether a job is not to be placed now: it backs off after failures, or it is another
-    /// controller's, which comes first.
-    fn in_backoff(&self, id: &str) -> bool {
+    /// Returns whether the placement of a job is deferred: it is in backoff after failures, or it belongs
+    /// to another controller, which has precedence until the takeover delay has passed.
+    fn placement_deferred(&self, id: &str) -> bool {
         if self.controller.workers.in_backoff(id, self.now) {
             return true;
         }
@@ -157,11 +159,11 @@
         if owns(self.terms, id) || job.spec.kind == JobKind::Gang {
             return false;
         }
-        wall().saturating_sub(job.waiting_since) < self.take_after(id, job)
+        wall().saturating_sub(job.waiting_since) < self.takeover_delay(id, job)
     }
 
-    /// How long another controller's job waits until we place its tasks.
-    fn take_after(&self, id: &str, job: &Job) -> Micros {
+    /// Returns the time for which another controller's job waits before this controller places its tasks.
+    fn takeover_delay(&self, id: &str, job: &Job) -> Micros {
         let owner_alive = self.view.shards.get(&shard_of(id)).is_some_and(|shard| {
             self.view
                 .members
@@ -169,14 +171,14 @@
                 .is_some_and(|member| member.lease == shard.lease)
         });
         if !owner_alive {
-            return TAKE_ORPHAN_AFTER;
+            return ORPHANED_JOB_TAKEOVER_DELAY;
         }
         if job.is_deadline_step() {
-            return TAKE_DEADLINE_STEP_AFTER;
+            return DEADLINE_STEP_TAKEOVER_DELAY;
         }
         match job.spec.kind {
-            JobKind::Service => TAKE_SERVICE_AFTER,
-            _ => TAKE_ARRAY_AFTER,
+            JobKind::Service => SERVICE_TAKEOVER_DELAY,
+            _ => ARRAY_TAKEOVER_DELAY,
         }
     }
 }
--- a/src/reconciliation/write_delay.rs
+++ b/src/reconciliation/write_delay.rs
@@ -1,5 +1,5 @@
-//! How long the end of an attempt may wait until it is written: what nobody waits for is written later,
-//! together with others. Pure.
+//! Delay between the end of an attempt and its write: ends that delay no other work are written later, in
+//! one transaction with others. The functions have no side effects.
 
 use crate::jobs::commit::JobChange;
 use crate::jobs::model::TaskState;
@@ -7,38 +7,38 @@
 use crate::time::{Micros, SECOND};
 use crate::wire::user::JobKind;
 
-/// Delay of ends that free resources for someone, as tasks were asked to stop for them: these come in
-/// numbers, and so much later one transaction takes them together.
-pub(super) const STOPPED_DELAY: Micros = 3 * SECOND / 10;
-/// Delay of ends after which a task runs again or a job may end.
-const RESTART_DELAY: Micros = 2 * SECOND / 5;
-/// Delay of completions of array tasks, and of ends in cancelled jobs, that nobody waits for.
-const BOOKKEEPING_DELAY: Micros = 2 * SECOND;
+/// Delay of ends of tasks that were asked to stop in order to free resources for other tasks. Many of them
+/// end at about the same time, and with this delay one transaction records them together.
+pub(super) const STOPPED_TASK_WRITE_DELAY: Micros = 3 * SECOND / 10;
+/// Delay of ends after which a task is restarted or its job may end.
+const RESTART_WRITE_DELAY: Micros = 2 * SECOND / 5;
+/// Delay of completions of array tasks and of ends in cancelled jobs that delay no other work.
+const BOOKKEEPING_WRITE_DELAY: Micros = 2 * SECOND;
 
-/// How long the ended attempts of a job may wait, counted from when the first of them was known.
-/// `ended` are the changes of this job that are not written yet.
+/// Returns the delay of the write of a job's ended attempts, counted from the time at which the first of
+/// them became known. `ended` holds the changes of this job that are not written yet.
 pub(super) fn write_delay(job: &Job, ended: &[JobChange]) -> Micros {
     let all_ended = ended.len() as u32 >= job.placed;
     if job.cancelled() {
-        // Its user has the answer, and the resources are known to be free.
+        // The user has received the response, and the resources are already counted as free.
         return match all_ended {
-            true => RESTART_DELAY,
-            false => BOOKKEEPING_DELAY,
+            true => RESTART_WRITE_DELAY,
+            false => BOOKKEEPING_WRITE_DELAY,
         };
     }
     if job.spec.kind != JobKind::Array {
         return 0;
     }
-    // Resources that were freed for someone: other controllers see them only once that is written.
+    // These resources were freed for other tasks, and other controllers see them only after the write.
     if ended.iter().any(|change| was_asked_to_stop(job, change)) {
-        return STOPPED_DELAY;
+        return STOPPED_TASK_WRITE_DELAY;
     }
     let completed =
         |change: &JobChange| matches!(change, JobChange::AttemptEnded { done: true, .. });
     match ended.iter().all(completed) {
         true if all_ended && job.waiting == 0 => 0,
-        true => BOOKKEEPING_DELAY,
-        false => RESTART_DELAY,
+        true => BOOKKEEPING_WRITE_DELAY,
+        false => RESTART_WRITE_DELAY,
     }
 }
 
