--- a/src/fairness/minimum_share/tests.rs
+++ b/src/fairness/minimum_share/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `fairness/minimum_share.rs` that need its private parts.
+//! Unit tests of `fairness/minimum_share.rs` that use its private items.
 
 use super::*;
 use proptest::prelude::*;
@@ -13,30 +13,34 @@
     }
 }
 
-/// A scope of 100 CPUs in which every task runs one step, and normal work has always more waiting
-/// than fits: low work gets its third and no more, and only once it is overdue.
+/// Guards against starvation of a class of lower priority, and against a share above a third. In a scope
+/// of 100 CPUs normal work always has more waiting tasks than fit, and a tenth of the running tasks ends
+/// in each step: low work gets its third, no more, and only after it is overdue.
 #[test]
-fn an_endless_backlog_of_higher_rank_leaves_a_third() {
-    let mut got = 0;
+fn starved_class_gets_a_third_and_no_more() {
+    let mut granted_cpus = 0;
     let (mut normal, mut low) = (100, 0);
     for step in 0..40 {
         let overdue = step >= 10;
-        let list = [
+        let classes = [
             class(Priority::Normal, 500, normal, false),
             class(Priority::Low, 300, low, overdue),
         ];
-        let f = minimum_share(&list);
-        assert_eq!(f[0], 0);
-        assert!(overdue || f[1] == 0);
-        // A tenth of what runs ends in each step; the floor goes first, then rank.
-        let (n, l) = (normal / 10, low / 10);
-        let freed = n + l;
-        let take = f[1].min(freed);
-        (normal, low) = (normal - n + freed - take, low - l + take);
-        got += take;
+        let shares = minimum_share(&classes);
+        assert_eq!(shares[0], 0);
+        assert!(overdue || shares[1] == 0);
+        // A tenth of the running tasks ends in each step. The minimum share is served before priority.
+        let (normal_ended, low_ended) = (normal / 10, low / 10);
+        let freed = normal_ended + low_ended;
+        let granted = shares[1].min(freed);
+        (normal, low) = (
+            normal - normal_ended + freed - granted,
+            low - low_ended + granted,
+        );
+        granted_cpus += granted;
         assert!(low <= 33, "{low}");
     }
-    assert!(got > 0 && low >= 28, "{got} {low}");
+    assert!(granted_cpus > 0 && low >= 28, "{granted_cpus} {low}");
 }
 
 proptest! {
@@ -47,25 +51,26 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the classes: all floors together stay within the share, no class of the highest
-    /// rank has one, and a class of which nothing runs while higher ones run is never left out.
+    /// For any classes: the sum of the minimum shares stays within `SHARE`, no class of the highest
+    /// priority has a minimum share, and an overdue class without running tasks always gets one while a
+    /// class of higher priority runs.
     #[test]
-    fn nobody_starves_and_nobody_of_higher_rank_waits_beyond_the_floor(
-        list in proptest::collection::vec((0usize..4, 0i64..50, 0i64..50, any::<bool>()), 1..6),
+    fn minimum_shares_are_bounded_and_reach_starved_classes(
+        classes in proptest::collection::vec((0usize..4, 0i64..50, 0i64..50, any::<bool>()), 1..6),
     ) {
-        let ranks = [Priority::Production, Priority::High, Priority::Normal, Priority::Low];
-        let list: Vec<ClassDemand> = list.iter()
-            .map(|(r, q, n, o)| class(ranks[*r], q * 1000, n * 1000, *o)).collect();
-        let f = minimum_share(&list);
-        let running: i64 = list.iter().map(|s| s.running).sum();
-        prop_assert!(f.iter().sum::<i64>() as f64 <= running as f64 * SHARE);
-        let top = list.iter().map(|s| s.priority).min();
-        for (s, f) in list.iter().zip(&f) {
-            prop_assert!(*f >= 0 && *f <= s.waiting);
-            prop_assert!(*f == 0 || (Some(s.priority) != top && s.overdue));
-            let behind = list.iter().any(|h| h.priority < s.priority && h.running > 10_000 && h.pending(1.0) < 1.0);
-            if s.overdue && s.waiting > 0 && s.running == 0 && behind {
-                prop_assert!(*f > 0, "{list:?}");
+        let priorities = [Priority::Production, Priority::High, Priority::Normal, Priority::Low];
+        let classes: Vec<ClassDemand> = classes.iter()
+            .map(|(priority, waiting, running, overdue)| class(priorities[*priority], waiting * 1000, running * 1000, *overdue)).collect();
+        let shares = minimum_share(&classes);
+        let running: i64 = classes.iter().map(|demand| demand.running).sum();
+        prop_assert!(shares.iter().sum::<i64>() as f64 <= running as f64 * SHARE);
+        let highest_priority = classes.iter().map(|demand| demand.priority).min();
+        for (demand, share) in classes.iter().zip(&shares) {
+            prop_assert!(*share >= 0 && *share <= demand.waiting);
+            prop_assert!(*share == 0 || (Some(demand.priority) != highest_priority && demand.overdue));
+            let higher_class_runs = classes.iter().any(|other| other.priority < demand.priority && other.running > 10_000 && other.pending_fraction(1.0) < 1.0);
+            if demand.overdue && demand.waiting > 0 && demand.running == 0 && higher_class_runs {
+                prop_assert!(*share > 0, "{classes:?}");
             }
         }
     }
--- a/src/fairness/service_levels.rs
+++ b/src/fairness/service_levels.rs
@@ -1,5 +1,6 @@
-//! Service levels: what share of the jobs of each class and team is started and done. Jobs that ended are
-//! added up in one stored value, which the leader writes; jobs that are active are counted as they stand.
+//! Service levels: the share of the jobs of each class and team that is started and done. Totals of ended
+//! jobs are kept in one stored value, which the leader writes; active jobs are counted from the cluster
+//! state.
 
 use super::minimum_share::overdue_after;
 use super::value_limit::fitting;
@@ -10,51 +11,51 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Jobs of one class and team that ended.
+/// Numbers of ended jobs of one class and team.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClassTotals {
-    /// All of them.
+    /// All ended jobs.
     #[serde(rename = "a")]
     pub accepted: u64,
-    /// Those of which a task was started.
+    /// Jobs with at least one started task.
     #[serde(rename = "s")]
     pub started: u64,
-    /// Those that were done, and not cancelled.
+    /// Jobs that were completed and not cancelled.
     #[serde(rename = "d")]
     pub done: u64,
 }
 
-/// Totals of all jobs that ended up to a revision: one stored value.
+/// Totals of all jobs that ended up to a revision. Stored as one value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLevels {
-    /// Revision of the state service up to which ends are counted.
+    /// Revision of the state service up to which job ends are counted.
     #[serde(rename = "r")]
     pub revision: u64,
-    /// By class and team, see `class_and_team_key`.
+    /// Totals by class and team, see `class_and_team_key`.
     #[serde(rename = "e", default)]
     pub ended: BTreeMap<String, ClassTotals>,
 }
 
-/// The end of one job, as the cluster state saw it.
+/// The end of one job, as read from the state service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobEnd {
-    /// Revision at which its record was deleted.
+    /// Revision at which the job record was deleted.
     pub revision: u64,
     /// Class and team, see `class_and_team_key`.
     pub class_and_team: String,
-    /// Whether a task was started.
+    /// Whether at least one task was started.
     pub started: bool,
-    /// Whether it was done.
+    /// Whether the job was completed.
     pub done: bool,
 }
 
-/// Class and team as one key. A class may hold any text, so the team comes first, and before it its length
-/// in bytes says where it ends.
+/// Returns class and team as one key. A class may contain any text, so the key starts with the length of
+/// the team in bytes, followed by the team and the class.
 pub fn class_and_team_key(class: &str, team: &str) -> String {
     format!("{}:{team}{class}", team.len())
 }
 
-/// Class and team of such a key; `None` if it is not one.
+/// Returns the class and team of a key made by `class_and_team_key`; `None` if the key is malformed.
 pub fn parse_class_and_team(key: &str) -> Option<(&str, &str)> {
     let (team_bytes, team_and_class) = key.split_once(':')?;
     let team_bytes: usize = team_bytes.parse().ok()?;
@@ -65,9 +66,10 @@
 }
 
 impl ServiceLevels {
-    /// The value with the ends after its revision and up to `revision`, within `max_bytes`. Nothing is
-    /// counted twice, whichever leader adds it. Not counted is what ended before a new leader had loaded
-    /// the state and after the last one had written.
+    /// Returns the totals with the job ends added that are after the stored revision and not after
+    /// `revision`, within `max_bytes`. The revision check prevents two leaders from counting an end twice.
+    /// Jobs that end after the last write of the previous leader and before the new leader has loaded the
+    /// state are not counted.
     pub fn with(
         &self,
         ends: impl Iterator<Item = JobEnd>,
@@ -90,37 +92,37 @@
 /// Service level of one class of one team.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ServiceLevelRow {
-    /// Class.
+    /// Job class.
     pub class: String,
-    /// Team.
+    /// Team name.
     pub team: String,
-    /// Jobs accepted.
+    /// Number of accepted jobs.
     pub accepted: u64,
-    /// Of these, jobs of which a task was started.
+    /// Number of accepted jobs with at least one started task.
     pub started: u64,
-    /// Jobs done.
+    /// Number of completed jobs.
     pub done: u64,
-    /// Jobs of which no task was started yet.
+    /// Number of jobs without a started task so far.
     pub waiting: u64,
-    /// How long the oldest of these has waited, in seconds.
+    /// Waiting time of the oldest job without a started task, in seconds.
     pub oldest_s: f64,
-    /// Jobs of which no task was started in time for the objectives of the class.
+    /// Number of jobs without a started task that have waited for longer than `overdue_after` of the class.
     pub overdue: u64,
 }
 
-/// Whether a task of a job was ever started.
+/// Returns whether a task of a job was ever started.
 pub fn started(job: &Job) -> bool {
     job.placed > 0 || job.done > 0 || job.slots().any(|(_, task)| task.attempt() > 0)
 }
 
-/// Service levels of all classes and teams. A job that waits for its dependencies counts from when it may
-/// start.
+/// Returns the service levels of all classes and teams. A job that waits for its dependencies is counted
+/// only after these have finished.
 pub fn table(
     view: &ClusterState,
     objectives: &[Objective],
     wall_clock: Micros,
 ) -> Vec<ServiceLevelRow> {
-    // With the ends that the stored value does not count yet.
+    // Includes the job ends that the stored value does not count yet.
     let levels = view
         .service_levels
         .with(view.recent_job_ends().cloned(), u64::MAX, usize::MAX);
@@ -156,26 +158,27 @@
         .collect()
 }
 
-/// For so long less than half must have started in time before it is logged: shorter dips are common
-/// while machines are provisioned.
-const LOG_DELAY: Micros = 60 * SECOND;
+/// Time for which less than half of the jobs must have started in time before this is logged. Shorter
+/// periods are common while machines are provisioned.
+const MISSED_OBJECTIVE_LOG_DELAY: Micros = 60 * SECOND;
 
-/// A class or team of which less than half started in time.
+/// A class or team of which less than half of the jobs started in time.
 struct MissedObjective {
-    /// Monotonic time.
+    /// Monotonic time since which the objective has been missed.
     since: Micros,
     logged: bool,
 }
 
-/// Classes and teams of which less than half started in time. Owned by the leader's round.
+/// Classes and teams of which less than half of the jobs started in time. Owned by the leader's fairness
+/// round.
 #[derive(Default)]
 pub struct ServiceLevelMonitor(HashMap<String, MissedObjective>);
 
-/// Jobs of one class, or of one team.
+/// Numbers of jobs of one class or of one team.
 #[derive(Default)]
 struct StartedInTime {
     started: u64,
-    /// Those that started, and those that are overdue.
+    /// Jobs that started or are overdue.
     due: u64,
 }
 
@@ -186,8 +189,8 @@
 }
 
 impl ServiceLevelMonitor {
-    /// Classes and teams of which less than half started in time for `LOG_DELAY`, each reported once,
-    /// and the share that started. `now` is monotonic.
+    /// Returns the classes and teams of which less than half of the jobs have started in time for
+    /// `MISSED_OBJECTIVE_LOG_DELAY`, and the share that started. Each is reported once. `now` is a monotonic time.
     pub fn missed_objectives(
         &mut self,
         rows: &[ServiceLevelRow],
@@ -209,7 +212,7 @@
                 since: now,
                 logged: false,
             });
-            if !missed.logged && now.saturating_sub(missed.since) >= LOG_DELAY {
+            if !missed.logged && now.saturating_sub(missed.since) >= MISSED_OBJECTIVE_LOG_DELAY {
                 missed.logged = true;
                 newly_missed.push((scope, jobs.started as f64 / jobs.due as f64));
             }
