--- a/src/fairness/boosting.rs
+++ b/src/fairness/boosting.rs
@@ -1,30 +1,38 @@
-//! The paper's algorithms 1 and 2: which waiting tasks are boosted in a round. Pure.
+//! Algorithms 1 and 2 of the paper: select the waiting tasks whose priority a round boosts. The functions
+//! have no side effects.
 
-use super::equations::{JobActivity, max_median_ratios, min_pending_fraction, pending, unfairness};
+use super::equations::{
+    JobActivity, max_median_ratios, min_pending_fraction, pending_fractions, unfairness_degree,
+};
 use super::{PriorityBoost, PriorityBoosts};
 
-/// Lowest level of a boost: 0 is no boost, and 1 is left free.
-const LOWEST_LEVEL: u32 = 2;
+/// Lowest level of a boost. Level 0 means no boost, and level 1 is not used.
+const LOWEST_BOOST_LEVEL: u32 = 2;
 
-/// One round. If the unfairness degree is above the threshold, each job whose pending fraction is above the
-/// smallest by more than that gets a boost of Δ tasks (equation 6), on a level above all others in use.
-/// Boosts of earlier rounds stand while their tasks wait.
-pub fn round(jobs: &[JobActivity], threshold: f64, before: &PriorityBoosts) -> PriorityBoosts {
-    let mut boosts = still_waiting(jobs, before);
-    let pending_fractions = pending(jobs);
-    if unfairness(&pending_fractions) <= threshold {
+/// Runs one round and returns its boosts. If the unfairness degree is above the threshold, each job whose
+/// pending fraction exceeds the smallest one by more than the threshold gets a boost of Δ tasks (equation
+/// 6), at a level above all others in use. Boosts of earlier rounds remain while their tasks wait.
+pub fn update_boosts(
+    jobs: &[JobActivity],
+    threshold: f64,
+    previous: &PriorityBoosts,
+) -> PriorityBoosts {
+    let mut boosts = boosts_of_waiting_tasks(jobs, previous);
+    let fractions = pending_fractions(jobs);
+    if unfairness_degree(&fractions) <= threshold {
         return boosts;
     }
     let top_level = renumber_levels(&mut boosts);
-    let min_fraction = min_pending_fraction(&pending_fractions);
+    let min_fraction = min_pending_fraction(&fractions);
     let ratios = max_median_ratios(jobs);
-    for ((job, fraction), ratio) in jobs.iter().zip(&pending_fractions).zip(&ratios) {
+    for ((job, fraction), ratio) in jobs.iter().zip(&fractions).zip(&ratios) {
         if fraction - min_fraction <= threshold || *ratio <= 0.0 {
             continue;
         }
-        // Δ, equation 6: all waiting tasks but those that keep w at the threshold above the smallest.
-        let may_wait = ((threshold + min_fraction) * job.weighted_tasks() / ratio).floor();
-        let tasks = (f64::from(job.waiting) - may_wait).max(0.0) as u32;
+        // Δ, equation 6: all waiting tasks beyond the number at which w exceeds the smallest fraction by the
+        // threshold.
+        let tolerated_tasks = ((threshold + min_fraction) * job.weighted_tasks() / ratio).floor();
+        let tasks = (f64::from(job.waiting) - tolerated_tasks).max(0.0) as u32;
         if tasks > 0 {
             let level = top_level;
             boosts
@@ -35,11 +43,11 @@
     boosts
 }
 
-/// Boosts of earlier rounds, for as many tasks as still wait.
-fn still_waiting(jobs: &[JobActivity], before: &PriorityBoosts) -> PriorityBoosts {
+/// Returns the boosts of earlier rounds, limited to the tasks that still wait.
+fn boosts_of_waiting_tasks(jobs: &[JobActivity], previous: &PriorityBoosts) -> PriorityBoosts {
     let mut boosts = PriorityBoosts::default();
     for job in jobs {
-        if let Some(boost) = before.jobs.get(&job.id)
+        if let Some(boost) = previous.jobs.get(&job.id)
             && job.waiting > 0
         {
             let tasks = boost.tasks.min(job.waiting);
@@ -52,13 +60,14 @@
     boosts
 }
 
-/// Numbers the levels in use without gaps, so that they do not grow for ever. Returns the next one above.
+/// Renumbers the levels in use without gaps, so that they do not grow without bound, and returns the next
+/// higher level.
 fn renumber_levels(boosts: &mut PriorityBoosts) -> u32 {
     let mut levels: Vec<u32> = boosts.jobs.values().map(|boost| boost.level).collect();
     levels.sort_unstable();
     levels.dedup();
     for boost in boosts.jobs.values_mut() {
-        boost.level = levels.binary_search(&boost.level).unwrap_or(0) as u32 + LOWEST_LEVEL;
+        boost.level = levels.binary_search(&boost.level).unwrap_or(0) as u32 + LOWEST_BOOST_LEVEL;
     }
-    levels.len() as u32 + LOWEST_LEVEL
+    levels.len() as u32 + LOWEST_BOOST_LEVEL
 }
--- a/src/fairness/mod.rs
+++ b/src/fairness/mod.rs
@@ -1,9 +1,10 @@
-//! Fairness among jobs and classes. The paper's control loop (its equations in `equations`, its algorithms
-//! in `boosting`) raises the priority of waiting tasks of jobs that fall behind; `minimum_share` does the
-//! like for classes of lower priority; `service_levels` counts what each class and team is given.
+//! Fairness among jobs and classes. The paper's control loop (equations in `equations`, algorithms in
+//! `boosting`) raises the priority of waiting tasks of jobs with a large pending fraction; `minimum_share`
+//! raises waiting tasks of starved classes of lower priority; `service_levels` counts accepted, started and
+//! completed jobs for each class and team.
 //!
-//! Each controller writes the counts of its own machines (`task_counts`), the leader writes the boosts and
-//! the service levels once a round (`rounds`). Every controller reads them in its scheduling.
+//! Each controller writes the task counts of its machines (`task_counts`); the leader writes the boosts and
+//! the service levels once per round (`rounds`). Every controller uses them for scheduling.
 
 pub mod boosting;
 pub mod equations;
@@ -13,42 +14,42 @@
 pub mod task_counts;
 mod value_limit;
 
-pub use boosting::round;
-pub use equations::{JobActivity, merge, pending, performance, unfairness};
+pub use boosting::update_boosts;
+pub use equations::{JobActivity, merge_counts, pending_fractions, performance, unfairness_degree};
 
 use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What one controller knows about one job from its machines' heartbeats.
+/// Task counts and durations of one job, from the heartbeats of one controller's machines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct JobCount {
-    /// Finished tasks that were measured.
+pub struct JobTaskCounts {
+    /// Number of finished tasks with measured durations.
     #[serde(rename = "n")]
     pub finished: u32,
-    /// Median durations of the phases of finished tasks: image fetch, run.
+    /// Median durations of the phases of finished tasks: image fetch and run.
     #[serde(rename = "m")]
-    pub medians: [Micros; 2],
-    /// Durations so far of the phases of the active task that has taken longest.
+    pub median_durations: [Micros; 2],
+    /// Elapsed durations of the phases of the longest active task.
     #[serde(rename = "u")]
-    pub longest: [Micros; 2],
+    pub longest_durations: [Micros; 2],
 }
 
-/// Counts of one controller: one stored value.
+/// Task counts of one controller. Stored as one value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
-    /// By job.
+    /// Counts by job.
     #[serde(rename = "j")]
-    pub jobs: BTreeMap<String, JobCount>,
+    pub jobs: BTreeMap<String, JobTaskCounts>,
 }
 
-/// The boost of one job. Stored as a pair of numbers.
+/// Priority boost of one job. Stored as a pair of numbers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32)", into = "(u32, u32)")]
 pub struct PriorityBoost {
-    /// How many of its waiting tasks are boosted: Δ of equation 6, less those that started since.
+    /// Number of waiting tasks that are boosted: Δ of equation 6, minus the tasks started since.
     pub tasks: u32,
-    /// To which level: higher ones go first; 0 is no boost.
+    /// Boost level. Higher levels are placed first; 0 means no boost.
     pub level: u32,
 }
 
@@ -64,10 +65,10 @@
     }
 }
 
-/// The boosts of all jobs after one round: one stored value.
+/// Priority boosts of all jobs after one round. Stored as one value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PriorityBoosts {
-    /// By job.
+    /// Boosts by job.
     #[serde(rename = "j", default)]
     pub jobs: BTreeMap<String, PriorityBoost>,
 }
--- a/src/fairness/rounds.rs
+++ b/src/fairness/rounds.rs
@@ -1,9 +1,9 @@
-//! The leader's fairness round: it writes the priority boosts and the service levels.
+//! The leader's fairness round, which writes the priority boosts and the service levels.
 
 pub use super::value_limit::fitting;
 
 use super::service_levels::table;
-use super::{JobActivity, PriorityBoosts, merge, round};
+use super::{JobActivity, PriorityBoosts, merge_counts, update_boosts};
 use crate::controller::Controller;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
@@ -13,20 +13,20 @@
 use crate::wire::user::JobKind;
 
 impl Controller {
-    /// Runs one round, as leader.
+    /// Runs one fairness round. Only the leader calls it.
     pub async fn fairness_round(&self) {
         self.write_priority_boosts().await;
         self.log_service_levels();
         self.write_service_levels().await;
     }
 
-    /// Writes the boosts of this round, if they changed.
+    /// Writes the boosts of this round if they changed.
     async fn write_priority_boosts(&self) {
         let boosts = {
             let view = self.watch_cache.view();
             let jobs = job_activities(&view);
             let threshold = self.policy.fairness_threshold;
-            let mut boosts: PriorityBoosts = round(&jobs, threshold, &view.priority_boosts);
+            let mut boosts: PriorityBoosts = update_boosts(&jobs, threshold, &view.priority_boosts);
             boosts.jobs = fitting(boosts.jobs, self.value_limit(), &|_, boost| {
                 (boost.level, boost.tasks)
             });
@@ -46,11 +46,11 @@
         self.watch_cache.transaction(&transaction).await;
     }
 
-    /// Logs which class or team newly misses its objectives.
+    /// Logs the classes and teams that newly miss their objectives.
     fn log_service_levels(&self) {
         let view = self.watch_cache.view();
         let rows = table(&view, &self.settings.objectives, wall());
-        tracing::debug!(?rows, "service levels");
+        tracing::debug!(?rows, "service levels computed");
         for (scope, started_share) in self
             .service_level_monitor
             .borrow_mut()
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Adds the jobs that ended to the stored service levels, if any did.
+    /// Adds the jobs that have ended since the last write to the stored service levels, if there are any.
     async fn write_service_levels(&self) {
         let transaction = {
             let view = self.watch_cache.view();
             let levels = &view.service_levels;
-            // A version that does not know the layout does not know the key either.
+            // Versions without support for the layout record do not support this key either.
             if view.layout.is_none()
                 || !view
                     .recent_job_ends()
@@ -93,20 +93,22 @@
     }
 }
 
-/// The jobs that take part in a round. One that waits for its dependencies is in no queue yet: Q counts
-/// tasks that could start (section 2, algorithm 1), and a boost could not start them.
+/// Returns the jobs that take part in a round. A job that waits for its dependencies is not queued yet and
+/// is left out: Q counts tasks that could start (section 2, algorithm 1), and a boost could not start its
+/// tasks.
 fn job_activities(view: &ClusterState) -> Vec<JobActivity> {
     view.jobs
         .iter()
         .filter(|(_, job)| job.spec.kind != JobKind::Service && job.ready && !job.cancelled())
         .map(|(id, job)| {
             let counts = view.counts.values();
-            let (median, performance) = merge(counts.filter_map(|counts| counts.jobs.get(&**id)));
+            let (median_duration_us, performance) =
+                merge_counts(counts.filter_map(|counts| counts.jobs.get(&**id)));
             JobActivity {
                 id: id.to_string(),
                 waiting: job.waiting,
                 running: job.placed,
-                median,
+                median_duration_us,
                 performance,
             }
         })
--- a/src/fairness/task_counts.rs
+++ b/src/fairness/task_counts.rs
@@ -1,8 +1,8 @@
-//! Task counts: what each controller knows of its jobs' tasks from the heartbeats of its machines. Each
-//! controller writes a value of its own, which the leader reads in its rounds.
+//! Task counts and durations by job, from the heartbeats of a controller's machines. Each controller writes
+//! a separate value, which the leader reads in its fairness rounds.
 
 use super::value_limit::fitting;
-use super::{Counts, JobCount};
+use super::{Counts, JobTaskCounts};
 use crate::controller::Controller;
 use crate::store::client::TransactionOutcome;
 use crate::store::keys;
@@ -18,17 +18,22 @@
     durations.get(durations.len() / 2).copied().unwrap_or(0)
 }
 
-/// Counts of one job, from the phases of its finished tasks and of the longest active one.
-fn job_count(finished: Option<&Vec<[Micros; 2]>>, longest: Option<&[Micros; 2]>) -> JobCount {
-    let mut count = JobCount::default();
+/// Returns the counts of one job from the phase durations of its finished tasks and of its longest active
+/// task.
+fn job_task_counts(
+    finished: Option<&Vec<[Micros; 2]>>,
+    longest: Option<&[Micros; 2]>,
+) -> JobTaskCounts {
+    let mut count = JobTaskCounts::default();
     if let Some(durations) = finished {
         count.finished = durations.len() as u32;
         for phase in 0..2 {
-            count.medians[phase] = median(durations.iter().map(|phases| phases[phase]).collect());
+            count.median_durations[phase] =
+                median(durations.iter().map(|phases| phases[phase]).collect());
         }
     }
-    // Whole seconds are enough, and change the value less often.
-    count.longest = longest
+    // Whole seconds are precise enough, and the stored value changes less often.
+    count.longest_durations = longest
         .copied()
         .unwrap_or_default()
         .map(|duration| duration / SECOND * SECOND);
@@ -36,7 +41,7 @@
 }
 
 impl Controller {
-    /// Writes this controller's counts each round, if they changed.
+    /// Writes this controller's counts once per fairness round if they changed.
     pub async fn task_counts_loop(self: Rc<Controller>) {
         let mut written = Counts::default();
         loop {
@@ -67,7 +72,8 @@
         }
     }
 
-    /// Counts of all jobs of which this controller knows anything. Services are in no round.
+    /// Returns the counts of all jobs with finished or active tasks on this controller's machines. Services
+    /// take no part in fairness rounds and are left out.
     fn task_counts(&self) -> Counts {
         let now = self.clock.now();
         let view = self.watch_cache.view();
@@ -83,7 +89,7 @@
             if finished.is_some() || longest.is_some() {
                 counts
                     .jobs
-                    .insert(id.to_string(), job_count(finished, longest));
+                    .insert(id.to_string(), job_task_counts(finished, longest));
             }
         }
         counts
