--- a/src/reconciliation/decide.rs
+++ b/src/reconciliation/decide.rs
@@ -13,8 +13,8 @@
 use foldhash::{HashMap, HashMapExt, HashSet};
 use std::collections::BTreeMap;
 
-/// Interval between placements of arrays and gangs. Resources freed within one interval are
-/// assigned with one write.
+/// Interval between placements of arrays and gangs. Resources freed within one interval are assigned
+/// with one write.
 const ARRAY_PLACEMENT_INTERVAL: Micros = 2 * SECOND / 5;
 /// Time after which arrays are overdue and get `OVERDUE_ARRAY_SHARE` regardless of other waiting writes.
 const ARRAY_OVERDUE_DELAY: Micros = 2 * SECOND;
@@ -104,7 +104,7 @@
 
 /// Writes that are due, excluding the changes of the plan.
 struct DueWrites<'a> {
-    /// Ends of jobs, and ends of attempts that delay other work.
+    /// Ends of jobs, and ends of attempts for which other work waits.
     urgent: Vec<DueJob<'a>>,
     /// All other ends of attempts.
     bookkeeping: Vec<DueJob<'a>>,
@@ -163,8 +163,8 @@
         stager.staged
     }
 
-    /// Returns the writes that are due. Urgent writes are sorted by whether other jobs depend on the job
-    /// and then by age, so that a short budget does not leave out the same jobs in every pass.
+    /// Returns the writes that are due. Urgent writes of jobs with dependents come first, then those known
+    /// for the longest time, so that a short budget does not leave out the same jobs in every pass.
     fn due_writes<'a>(
         &mut self,
         input: &ReconcileInput<'a>,
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -291,7 +291,7 @@
     }
 
     /// Commits a transaction. For every outcome, the next passes decide from the cluster state of that
-    /// time. After a conflict or a missing answer, the state is read again first.
+    /// time. After a conflict or without a response, the state is read again first.
     async fn commit(&self, staged: &StagedTransaction) {
         match self.watch_cache.transaction(&staged.transaction).await {
             TransactionOutcome::Done(_) => {}
--- a/src/reconciliation/write_delay.rs
+++ b/src/reconciliation/write_delay.rs
@@ -1,5 +1,5 @@
-//! Delay between the end of an attempt and its write: ends that delay no other work are written later, in
-//! one transaction with others. The functions have no side effects.
+//! Delay between the end of an attempt and its write: ends for which no other work waits are written later,
+//! in one transaction with others. The functions have no side effects.
 
 use crate::jobs::commit::JobChange;
 use crate::jobs::model::TaskState;
@@ -12,7 +12,7 @@
 pub(super) const STOPPED_TASK_WRITE_DELAY: Micros = 3 * SECOND / 10;
 /// Delay of ends after which a task is restarted or its job may end.
 const RESTART_WRITE_DELAY: Micros = 2 * SECOND / 5;
-/// Delay of completions of array tasks and of ends in cancelled jobs that delay no other work.
+/// Delay of completions of array tasks and of ends in cancelled jobs, for which no other work waits.
 const BOOKKEEPING_WRITE_DELAY: Micros = 2 * SECOND;
 
 /// Returns the delay of the write of a job's ended attempts, counted from the time at which the first of
