--- a/src/fairness/service_levels.rs
+++ b/src/fairness/service_levels.rs
@@ -190,7 +190,8 @@
 
 impl ServiceLevelMonitor {
     /// Returns the classes and teams of which less than half of the jobs have started in time for
-    /// `MISSED_OBJECTIVE_LOG_DELAY`, and the share that started. Each is reported once. `now` is a monotonic time.
+    /// `MISSED_OBJECTIVE_LOG_DELAY`, and the share that started. Each is reported once. `now` is a
+    /// monotonic time.
     pub fn missed_objectives(
         &mut self,
         rows: &[ServiceLevelRow],
