--- a/src/workers/backoff.rs
+++ b/src/workers/backoff.rs
@@ -84,9 +84,9 @@
     ) {
         if !outcome.finished.is_empty() {
             let mut durations = self.workers.durations.borrow_mut();
-            let mut failing = self.workers.failing.borrow_mut();
+            let mut job_backoffs = self.workers.job_backoffs.borrow_mut();
             for finished in outcome.finished {
-                failing.remove(&finished.job);
+                job_backoffs.remove(&finished.job);
                 let list = durations.entry(finished.job).or_default();
                 if list.len() < MAX_DURATIONS_PER_JOB {
                     list.push(finished.durations.into());
@@ -98,11 +98,14 @@
             // complete, or run on, elsewhere is not at fault: it does not back off, and its failures
             // count against the machine.
             if self.works_elsewhere(&job, machine, now) {
-                self.workers.failing.borrow_mut().remove(&job);
+                self.workers.job_backoffs.borrow_mut().remove(&job);
                 continue;
             }
-            let mut failing = self.workers.failing.borrow_mut();
-            failing.entry(job).or_default().record_failure(machine, now);
+            let mut job_backoffs = self.workers.job_backoffs.borrow_mut();
+            job_backoffs
+                .entry(job)
+                .or_default()
+                .record_failure(machine, now);
         }
     }
 
--- a/src/workers/command_dispatch.rs
+++ b/src/workers/command_dispatch.rs
@@ -94,7 +94,7 @@
                 continue;
             };
             worker.outstanding.quiescent = false;
-            worker.outstanding.revisit = worker.outstanding.in_flight;
+            worker.outstanding.recheck_after_call = worker.outstanding.in_flight;
             let Some(call) = self.due_call(&dispatch, id, worker) else {
                 continue;
             };
@@ -150,10 +150,10 @@
         worker: &mut WorkerState,
     ) -> Option<Vec<Command>> {
         let now = dispatch.now;
-        let silent_for = worker.silent_for(now);
-        let overdue = self.heartbeat_overdue(silent_for);
-        let probe =
-            overdue || (silent_for > dispatch.probe_interval && runs_replicas(dispatch.view, id));
+        let time_since_contact = worker.time_since_contact(now);
+        let overdue = self.heartbeat_overdue(time_since_contact);
+        let probe = overdue
+            || (time_since_contact > dispatch.probe_interval && runs_replicas(dispatch.view, id));
         let mut list = commands(dispatch.view, id, worker, CommandChannel::Direct);
         let mut unsettled = self.workers.unsettled.borrow_mut();
         if list.is_empty() {
@@ -176,9 +176,9 @@
 
     /// Records a call as in flight and starts it.
     fn send(self: &Rc<Controller>, worker: &mut WorkerState, call: DirectCall, now: Micros) {
-        worker.remember_commands(&call.commands, now);
+        worker.record_sent_commands(&call.commands, now);
         worker.record_direct_starts(&call.commands);
-        self.note_first_start(&call.commands);
+        self.record_first_start(&call.commands);
         worker.outstanding.in_flight = true;
         let controller = self.clone();
         self.executor
@@ -237,7 +237,7 @@
                 let look_again = outcome.changed
                     || !call.commands.is_empty()
                     || !worker.fenced()
-                    || worker.outstanding.revisit;
+                    || worker.outstanding.recheck_after_call;
                 drop(machines);
                 self.record_task_outcomes(&call.machine, outcome, now);
                 look_again
@@ -245,7 +245,7 @@
             Err(WireError::Sockets) => {
                 // Nothing was sent, and it says nothing about the machine.
                 worker.acknowledge_direct(&call.commands);
-                worker.forget_commands(&call.commands);
+                worker.remove_sent_commands(&call.commands);
                 worker.outstanding.not_before = now + RETRY_AFTER_FAILURE;
                 true
             }
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -174,14 +174,14 @@
     }
 
     /// Remembers direct commands that go out, so that they are not repeated too soon.
-    pub fn remember_commands(&mut self, commands: &[Command], now: Micros) {
+    pub fn record_sent_commands(&mut self, commands: &[Command], now: Micros) {
         let recent = &mut self.outstanding.recent_commands;
         recent.retain(|(at, _)| now.saturating_sub(*at) < RECENT_COMMANDS_MEMORY);
         recent.extend(commands.iter().map(|command| (now, command.clone())));
     }
 
     /// Forgets direct commands that did not go out after all.
-    pub fn forget_commands(&mut self, commands: &[Command]) {
+    pub fn remove_sent_commands(&mut self, commands: &[Command]) {
         let recent = &mut self.outstanding.recent_commands;
         recent.retain(|(_, sent)| !commands.contains(sent));
     }
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -86,7 +86,7 @@
     fn record_periodic(&mut self, sequence: u64, now: Micros) {
         self.heartbeat.heartbeat_sequence = sequence;
         self.heartbeat.last_heartbeat_at = now;
-        self.heartbeat.received_any = true;
+        self.heartbeat.heartbeat_received = true;
         self.probes.answered_without_heartbeat = 0;
         self.probes.last_counted_answer_at = now;
     }
@@ -134,10 +134,10 @@
         outcome: &mut HeartbeatOutcome,
     ) {
         let mut tasks = BTreeMap::new();
-        self.unparsable_task_names = 0;
+        self.invalid_task_count = 0;
         for task in reported {
             let Some((key, observed)) = self.observe(task, now) else {
-                self.unparsable_task_names += 1;
+                self.invalid_task_count += 1;
                 continue;
             };
             if observed.since == now {
--- a/src/workers/heartbeat_handler.rs
+++ b/src/workers/heartbeat_handler.rs
@@ -70,7 +70,7 @@
         let changed = outcome.changed;
         self.record_task_outcomes(&machine, outcome, now);
         self.record_milestone(StartupMilestone::Heartbeat);
-        self.note_first_start(&commands);
+        self.record_first_start(&commands);
         if changed || !view.machines.contains_key(&machine) {
             self.workers.changed.borrow_mut().insert(machine);
             self.watch_cache.notifier().notify();
@@ -138,7 +138,7 @@
     }
 
     /// Notes the startup milestone of the first task start.
-    pub(super) fn note_first_start(&self, commands: &[Command]) {
+    pub(super) fn record_first_start(&self, commands: &[Command]) {
         let is_start = |command: &Command| matches!(command, Command::Start { .. });
         if commands.iter().any(is_start) {
             self.record_milestone(StartupMilestone::Start);
--- a/src/workers/inbound_partition.rs
+++ b/src/workers/inbound_partition.rs
@@ -83,7 +83,7 @@
     before: MachineState,
     partition: InboundPartition,
 ) -> MachineState {
-    let heartbeats_resumed = worker.heartbeat.received_any && !worker.inbound_partition();
+    let heartbeats_resumed = worker.heartbeat.heartbeat_received && !worker.inbound_partition();
     match (before, partition) {
         (_, InboundPartition::Replace) => MachineState::Lost,
         _ if worker.heartbeat.preempted_at.is_some() => MachineState::Draining,
@@ -106,7 +106,7 @@
     many_partitioned: bool,
     (heartbeat_interval, now): (Micros, Micros),
 ) -> Option<u64> {
-    let in_contact = worker.silent_for(now) < heartbeat_interval * 2;
+    let in_contact = worker.time_since_contact(now) < heartbeat_interval * 2;
     let reaches_us = many_partitioned || !worker.inbound_partition();
     let schedulable =
         worker.fenced() && in_contact && reaches_us && worker.session >= recorded_session;
--- a/src/workers/liveness.rs
+++ b/src/workers/liveness.rs
@@ -52,8 +52,8 @@
     /// there is nothing to wait for, unless it is us who are cut off (`isolated`). One missed call
     /// proves nothing: when a partition begins each machine misses one before it is known that all do.
     pub fn declared_dead(&self, lost_after: Micros, now: Micros, isolated: bool) -> bool {
-        let silent_for = self.silent_for(now);
-        self.probes.confirmed_dead || (silent_for > 2 * lost_after && !isolated)
+        let time_since_contact = self.time_since_contact(now);
+        self.probes.confirmed_dead || (time_since_contact > 2 * lost_after && !isolated)
     }
 
     /// Whether the machine's record should say that it is lost. One that boots has nothing to lose, but
@@ -113,7 +113,7 @@
 ) -> bool {
     let is_silent = |worker: &WorkerState| {
         worker.probes.last_failed_at > worker.heartbeat.last_contact_at
-            || worker.silent_for(now) > heartbeat_interval * 3 / 2
+            || worker.time_since_contact(now) > heartbeat_interval * 3 / 2
     };
     // Cheap in the usual case: no machine needs to be looked up while fewer than two are silent.
     if machines.values().filter(|w| is_silent(w)).take(2).count() < 2 {
--- a/src/workers/machine_records.rs
+++ b/src/workers/machine_records.rs
@@ -148,8 +148,8 @@
         }
         let writes = self.collect_record_writes(now);
         if !writes.declared_dead.is_empty() {
-            let number = self.workers.dead_declarations.get() + 1;
-            self.workers.dead_declarations.set(number);
+            let number = self.workers.dead_declaration_count.get() + 1;
+            self.workers.dead_declaration_count.set(number);
             let lease = self.membership.lease().unwrap_or(0);
             let name = format!("{}-{lease}-lost-{number}", self.me());
             let ids = writes.declared_dead;
@@ -220,7 +220,7 @@
             isolated: round.isolated,
         };
         if worker.lost(desired.state, has_tasks, check) {
-            let silent_for_ms = worker.silent_for(now) / 1000;
+            let silent_for_ms = worker.time_since_contact(now) / 1000;
             tracing::info!(machine = %id, silent_for_ms, "heartbeat lost, machine declared dead");
             desired.state = MachineState::Lost;
         }
@@ -245,7 +245,7 @@
         if terminated
             || !worker.fenced()
             || !known_for_long
-            || worker.silent_for(now) > self.settings.heartbeat_interval
+            || worker.time_since_contact(now) > self.settings.heartbeat_interval
         {
             return None;
         }
@@ -285,9 +285,9 @@
             );
         }
         desired.state = reported_state(worker, desired.state, partition);
-        let failing = self.workers.failing.borrow();
+        let job_backoffs = self.workers.job_backoffs.borrow();
         let failed_elsewhere = |job: &str| {
-            failing
+            job_backoffs
                 .get(job)
                 .is_some_and(|state| state.failed_elsewhere(id))
         };
--- a/src/workers/probing.rs
+++ b/src/workers/probing.rs
@@ -19,15 +19,15 @@
 const PROBES_PER_CORE_SECOND: f64 = 250.0;
 /// Machines fail in numbers as often as alone: after the first unanswered call all with replicas are
 /// probed at the shortest interval for this long ...
-const ALARM_SPAN: Micros = 3 * SECOND;
+const FAST_PROBING_DURATION: Micros = 3 * SECOND;
 /// ... and not again for this long after the alarm began.
-const ALARM_PAUSE: Micros = 10 * SECOND;
+const FAST_PROBING_COOLDOWN: Micros = 10 * SECOND;
 
 impl WorkerRegistry {
     /// Silence after which machines with replicas are probed now.
     pub(super) fn probe_interval(&self, now: Micros) -> Micros {
         let usual = self.probe_interval.get();
-        if now.saturating_sub(self.last_probe_failure.get()) < ALARM_SPAN {
+        if now.saturating_sub(self.last_probe_failure.get()) < FAST_PROBING_DURATION {
             return usual.min(MIN_PROBE_INTERVAL);
         }
         usual
@@ -36,7 +36,7 @@
     /// Raises the alarm when a call to a machine goes unanswered that had answered before.
     pub(super) fn record_probe_failure(&self, worker: &WorkerState, now: Micros) {
         let last = self.last_probe_failure.get();
-        if worker.probes.missed_probes == 0 && now.saturating_sub(last) > ALARM_PAUSE {
+        if worker.probes.missed_probes == 0 && now.saturating_sub(last) > FAST_PROBING_COOLDOWN {
             self.last_probe_failure.set(now);
         }
     }
@@ -55,11 +55,11 @@
                 continue;
             }
             let was_deferred = std::mem::take(&mut outstanding.not_before) > 0;
-            let silent_for = worker.silent_for(now);
+            let time_since_contact = worker.time_since_contact(now);
             if was_deferred
                 || !worker.fenced()
-                || self.heartbeat_overdue(silent_for)
-                || (silent_for > probe_interval && runs_replicas(&view, id))
+                || self.heartbeat_overdue(time_since_contact)
+                || (time_since_contact > probe_interval && runs_replicas(&view, id))
             {
                 changed.insert(id.clone());
             }
@@ -67,8 +67,8 @@
     }
 
     /// Whether a machine has been silent for longer than between two heartbeats.
-    pub(super) fn heartbeat_overdue(&self, silent_for: Micros) -> bool {
-        silent_for > self.settings.heartbeat_interval * 5 / 4 + SECOND / 4
+    pub(super) fn heartbeat_overdue(&self, time_since_contact: Micros) -> bool {
+        time_since_contact > self.settings.heartbeat_interval * 5 / 4 + SECOND / 4
     }
 
     /// Sets the probe interval by the number of machines with replicas.
--- a/src/workers/probing/tests.rs
+++ b/src/workers/probing/tests.rs
@@ -22,5 +22,8 @@
     assert_eq!(registry.probe_interval(now), 5 * SECOND / 2);
     registry.last_probe_failure.set(now);
     assert_eq!(registry.probe_interval(now + SECOND), MIN_PROBE_INTERVAL);
-    assert_eq!(registry.probe_interval(now + ALARM_SPAN), 5 * SECOND / 2);
+    assert_eq!(
+        registry.probe_interval(now + FAST_PROBING_DURATION),
+        5 * SECOND / 2
+    );
 }
--- a/src/workers/registry.rs
+++ b/src/workers/registry.rs
@@ -48,7 +48,7 @@
     /// Machines whose record is being written.
     pub(super) machines_being_written: RefCell<HashSet<MachineId>>,
     /// Jobs whose tasks fail.
-    pub(super) failing: RefCell<HashMap<JobId, BackoffState>>,
+    pub(super) job_backoffs: RefCell<HashMap<JobId, BackoffState>>,
     /// Durations of finished tasks, by job: image fetch and run.
     pub(super) durations: RefCell<HashMap<JobId, Vec<[Micros; 2]>>>,
     /// Redirected workers, by machine.
@@ -60,7 +60,7 @@
     /// Machines that need commands: looked at each second until they do not.
     pub(super) unsettled: RefCell<HashSet<MachineId>>,
     /// Number of writes that declared machines dead: each has a name of its own.
-    pub(super) dead_declarations: Cell<u64>,
+    pub(super) dead_declaration_count: Cell<u64>,
 }
 
 impl WorkerRegistry {
@@ -86,15 +86,17 @@
         let machines = self.machines.borrow();
         let list = machines
             .iter()
-            .filter(|(_, worker)| !worker.fenced() || worker.silent_for(now) > quiet);
+            .filter(|(_, worker)| !worker.fenced() || worker.time_since_contact(now) > quiet);
         out.extend(list.map(|(id, _)| id.clone()));
         out
     }
 
     /// Whether a job's tasks failed so recently that it is not started now.
     pub fn in_backoff(&self, job: &str, now: Micros) -> bool {
-        let failing = self.failing.borrow();
-        failing.get(job).is_some_and(|state| state.is_active(now))
+        let job_backoffs = self.job_backoffs.borrow();
+        job_backoffs
+            .get(job)
+            .is_some_and(|state| state.is_active(now))
     }
 
     /// Machines whose workers come back to us although we redirected them to this controller.
@@ -137,8 +139,8 @@
         self.add_missing_machines(&mut machines, view, terms, now);
         self.update_probe_interval(&machines, view);
         self.raise_terms_of_blocked_machines(&machines, now);
-        let mut failing = self.workers.failing.borrow_mut();
-        failing.retain(|job, _| view.jobs.contains_key(job));
+        let mut job_backoffs = self.workers.job_backoffs.borrow_mut();
+        job_backoffs.retain(|job, _| view.jobs.contains_key(job));
         let mut durations = self.workers.durations.borrow_mut();
         durations.retain(|job, _| view.jobs.contains_key(job));
     }
@@ -155,7 +157,7 @@
             let keep = terms[shard_of(id) as usize] == Some(worker.term)
                 && (view.machines.contains_key(id)
                     || view.tasks_on(id).is_some()
-                    || worker.silent_for(now) < UNLISTED_MACHINE_MEMORY);
+                    || worker.time_since_contact(now) < UNLISTED_MACHINE_MEMORY);
             if let Some(address) = worker.identity.address.filter(|_| !keep) {
                 self.http.forget(address);
             }
@@ -197,7 +199,7 @@
     ) {
         let blocked = machines.iter().filter(|(_, worker)| {
             worker.blocked_by_unacknowledged_start()
-                && worker.silent_for(now) < self.settings.heartbeat_interval * 2
+                && worker.time_since_contact(now) < self.settings.heartbeat_interval * 2
                 && now.saturating_sub(worker.probes.last_failed_at) > RAISE_TERM_AFTER
         });
         self.membership
--- a/src/workers/worker_state.rs
+++ b/src/workers/worker_state.rs
@@ -68,7 +68,7 @@
     /// the first one, when this term began.
     pub last_heartbeat_at: Micros,
     /// Whether a periodic heartbeat came under this term.
-    pub received_any: bool,
+    pub heartbeat_received: bool,
     /// When we last answered a periodic heartbeat, and so renewed the worker's lease.
     pub last_answered_at: Option<Micros>,
     /// When the cloud takes the machine back, if it has given notice.
@@ -108,7 +108,7 @@
     /// No direct call before this time, because one failed; 0 if none did.
     pub not_before: Micros,
     /// Something changed while a direct call was in flight: look at the machine again after it.
-    pub revisit: bool,
+    pub recheck_after_call: bool,
     /// The newest heartbeat needed no commands, and nothing has changed since.
     pub quiescent: bool,
 }
@@ -141,7 +141,7 @@
     /// Tasks in the newest message, by job and index.
     pub tasks: BTreeMap<(JobId, u32), ObservedTask>,
     /// Names in the newest message that are no task names; no command is given for them.
-    pub unparsable_task_names: usize,
+    pub invalid_task_count: usize,
     /// Who it is.
     pub identity: WorkerIdentity,
     /// Its messages.
@@ -161,7 +161,7 @@
             term,
             session: 0,
             tasks: BTreeMap::new(),
-            unparsable_task_names: 0,
+            invalid_task_count: 0,
             identity: WorkerIdentity::default(),
             heartbeat: HeartbeatHistory::new(now),
             probes: ProbeHistory::new(now),
@@ -179,7 +179,7 @@
     }
 
     /// Time since the last message.
-    pub fn silent_for(&self, now: Micros) -> Micros {
+    pub fn time_since_contact(&self, now: Micros) -> Micros {
         now.saturating_sub(self.heartbeat.last_contact_at)
     }
 }
@@ -193,7 +193,7 @@
             fenced_at: None,
             last_contact_at: now,
             last_heartbeat_at: now,
-            received_any: false,
+            heartbeat_received: false,
             last_answered_at: None,
             preempted_at: None,
         }
@@ -221,7 +221,7 @@
             recent_commands: Vec::new(),
             in_flight: false,
             not_before: 0,
-            revisit: false,
+            recheck_after_call: false,
             quiescent: false,
         }
     }
