--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -1,12 +1,13 @@
-//! Workers (the agents on the machines): what their heartbeats prove, and which commands follow.
+//! Workers (the agents on the machines): processing of their heartbeats and the commands sent to them.
 //!
-//! The owner of a shard drives the machines of that shard: the commands for a machine are the
-//! difference between the task blocks in the state service and the machine's newest heartbeat.
-//! Silence alone never proves that a task has ended.
+//! The owner of a shard controls the machines of that shard. The commands for a machine are the
+//! difference between the task blocks in the state service and the machine's newest heartbeat. Missing
+//! contact alone never proves that a task has ended.
 //!
-//! Pure decisions over [`WorkerState`] and a passed-in clock: `heartbeat`, `commands`, `reconcile`,
-//! `liveness`, `inbound_partition`, `backoff`. Steps of the controller's loops that apply them:
-//! `heartbeat_handler`, `registry`, `command_dispatch`, `probing`, `machine_records`.
+//! Modules with pure decisions, which take a [`WorkerState`] and the current time as arguments:
+//! `heartbeat`, `commands`, `reconcile`, `liveness`, `inbound_partition`, `backoff`. Modules with the
+//! steps of the controller's loops that apply them: `heartbeat_handler`, `registry`,
+//! `command_dispatch`, `probing`, `machine_records`.
 
 mod backoff;
 mod command_dispatch;
--- a/src/workers/reconcile.rs
+++ b/src/workers/reconcile.rs
@@ -1,8 +1,10 @@
-//! What a machine's newest message proves about the task blocks. Pure.
+//! Comparison of a machine's newest message with the task blocks, to find attempts that have ended.
+//! Pure.
 //!
-//! An attempt has ended only if its exit was reported, if a newer message under our token does not
-//! show it and no start of it can still arrive, if the worker has a later session, if the machine's
-//! record is gone, or if the worker's lease must have expired. Silence proves nothing.
+//! An attempt has ended only in these cases: its exit was reported; a newer message under the current
+//! fencing token does not contain it and no start of it can still arrive; the worker has a later
+//! session; the machine's record was deleted; or the worker's lease must have expired. Missing contact
+//! alone is no proof.
 
 use super::commands::desired_stop;
 use super::worker_state::WorkerState;
@@ -13,7 +15,7 @@
 use crate::time::Micros;
 use crate::wire::worker::{ExitReason, TaskStatus};
 
-/// Appends to `out` the ends of attempts on a machine that its newest message proves.
+/// Appends to `out` the attempts on a machine that are proven to have ended.
 pub fn reconcile(
     view: &ClusterState,
     machine: &MachineId,
@@ -25,7 +27,7 @@
     let Some(placed) = view.tasks_on(machine) else {
         return;
     };
-    // The record of a machine is deleted only when it was terminated with all that was on it.
+    // The record of a machine is deleted only after the machine was terminated with all its tasks.
     let terminated = !view.machines.contains_key(machine);
     let lease_expired = worker.lease_expired(lease, now);
     for (key, placement) in placed {
@@ -51,16 +53,17 @@
     }
 }
 
-/// How an attempt ended.
+/// Result of an attempt that ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AttemptEnd {
     /// The task completed.
     Done,
-    /// It did not, and has to run again unless its job is over.
+    /// The task did not complete, and has to run again unless its job has ended.
     NotDone,
 }
 
-/// The end of an attempt that was placed in the worker's current session.
+/// Returns the end of an attempt that was placed in the worker's current session, or `None` if it is
+/// not proven to have ended.
 fn end_in_session(
     view: &ClusterState,
     worker: &WorkerState,
@@ -68,8 +71,10 @@
     placement: &Placement,
 ) -> Option<AttemptEnd> {
     match worker.tasks.get(key) {
-        Some(o) if o.attempt == placement.attempt && o.status == TaskStatus::Exited => {
-            Some(match o.reason {
+        Some(observed)
+            if observed.attempt == placement.attempt && observed.status == TaskStatus::Exited =>
+        {
+            Some(match observed.reason {
                 Some(ExitReason::Done) => AttemptEnd::Done,
                 _ => AttemptEnd::NotDone,
             })
@@ -82,14 +87,15 @@
 }
 
 impl WorkerState {
-    /// Whether an attempt is provably not on the machine and cannot start there any more.
+    /// Returns whether an attempt is proven to be absent from the machine and can no longer start
+    /// there.
     fn is_absent(&self, key: &(JobId, u32), attempt: u32) -> bool {
         let start = (key.0.clone(), key.1, attempt);
         let outstanding = &self.outstanding;
         self.fenced()
             && self.tasks.get(key).is_none_or(|o| o.attempt != attempt)
             && !outstanding.unacknowledged_starts.contains(&start)
-            // A start in the answer to a heartbeat is executed before the next heartbeat, or never.
+            // A start in the answer to a heartbeat is executed before the next heartbeat or never.
             && outstanding
                 .starts_in_response
                 .get(&start)
--- a/src/workers/task_durations.rs
+++ b/src/workers/task_durations.rs
@@ -1,4 +1,4 @@
-//! How long tasks take, as observed from their workers' messages, for the fairness round. Pure.
+//! Task durations, as observed in their workers' messages, for the fairness round. Pure.
 
 use super::worker_state::WorkerState;
 use crate::jobs::model::JobId;
@@ -11,28 +11,29 @@
 /// Durations of the two phases of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TaskDurations {
-    /// Image fetch.
+    /// Duration of the image fetch.
     pub fetch: Micros,
-    /// Run.
+    /// Duration of the run.
     pub run: Micros,
 }
 
 impl From<TaskDurations> for [Micros; 2] {
-    /// In the order of the phases, as the fairness counts hold them.
+    /// Returns the durations in the order of the phases, as in the fairness counts.
     fn from(durations: TaskDurations) -> [Micros; 2] {
         [durations.fetch, durations.run]
     }
 }
 
-/// A task that completed while it was observed to run.
+/// A task that completed and had been seen running before.
 pub struct FinishedTask {
-    /// Its job.
+    /// Job of the task.
     pub job: JobId,
-    /// How long it took.
+    /// Durations of the task's phases.
     pub durations: TaskDurations,
 }
 
-/// The durations so far (image fetch, run) of the longest active task of each job that is no service.
+/// Returns the durations so far (image fetch, run) of the longest active task of each job that is not a
+/// service.
 pub fn longest_active_tasks<'a>(
     machines: impl Iterator<Item = &'a WorkerState>,
     view: &ClusterState,
