--- a/src/workers/command_dispatch.rs
+++ b/src/workers/command_dispatch.rs
@@ -1,8 +1,9 @@
-//! Sending commands to workers by direct calls, between their heartbeats.
+//! Direct calls that send commands to workers between their heartbeats.
 //!
-//! One call to a machine is in flight at a time. A call without commands shows the worker our fencing
-//! token, and shows us that the machine lives. A start whose call gets no reply stays unacknowledged:
-//! it may still be executed at any time.
+//! At most one call to a machine is in flight. A call without commands is a probe: it delivers the
+//! fencing token of this controller to the worker, and the reply confirms that the machine is alive. A
+//! start whose call receives no reply stays unacknowledged, because it may still be executed at any
+//! time.
 
 use super::commands::{CommandChannel, commands};
 use super::heartbeat::{HeartbeatOutcome, HeartbeatSource};
@@ -23,32 +24,33 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A call with commands that gets no reply within this time counts as unanswered.
+/// Timeout of a call with commands.
 const COMMAND_TIMEOUT: Micros = SECOND;
-/// The same for a call without commands: short, because a hung machine is found by it.
+/// Timeout of a call without commands. It is short so that a hung machine is detected quickly.
 const PROBE_TIMEOUT: Micros = 2 * SECOND / 5;
-/// For this long after a failed call starts go only into the answers to heartbeats, where none is
-/// executed late.
-const NO_DIRECT_STARTS_AFTER_FAILURE: Micros = 10 * SECOND;
-/// The same direct command is not repeated sooner than this.
-const REPEAT_INTERVAL: Micros = SECOND;
-/// Calls in flight take at most this part of the connections: a controller that takes the whole fleet
-/// over has every machine to call, and a connection from each besides.
-const CALLS_DIVISOR_OF_CONNECTIONS: usize = 10;
-/// Pause after a call that failed or was not sent.
-const RETRY_AFTER_FAILURE: Micros = SECOND / 4;
-/// Pause after the worker refused the commands, because of another session or a higher token.
-const RETRY_AFTER_REFUSAL: Micros = SECOND / 2;
-/// Pause after a reply that is no message of this worker.
-const RETRY_AFTER_INVALID_REPLY: Micros = SECOND;
+/// Time after a failed call during which starts are sent only in answers to heartbeats, where none can
+/// be executed late.
+const DIRECT_START_PAUSE_AFTER_FAILURE: Micros = 10 * SECOND;
+/// Minimum interval between two sends of the same direct command.
+const COMMAND_REPEAT_INTERVAL: Micros = SECOND;
+/// Divisor of the connection limit that gives the maximum number of calls in flight. A controller that
+/// takes over the whole fleet has to call every machine while it also has an incoming connection from
+/// each.
+const MAX_CALLS_CONNECTION_DIVISOR: usize = 10;
+/// Retry delay after a call that failed or was not sent.
+const RETRY_DELAY_AFTER_FAILURE: Micros = SECOND / 4;
+/// Retry delay after the worker refused the commands because of another session or a higher token.
+const RETRY_DELAY_AFTER_REFUSAL: Micros = SECOND / 2;
+/// Retry delay after a reply that is not a valid message of the called worker.
+const RETRY_DELAY_AFTER_INVALID_REPLY: Micros = SECOND;
 
-/// What holds for all machines in one dispatch.
-struct Dispatch<'a> {
+/// Values that are the same for all machines in one dispatch pass.
+struct DispatchContext<'a> {
     view: &'a ClusterState,
     now: Micros,
-    /// When any machine was last in contact, before the calls are sent.
+    /// Time of the latest contact with any machine, taken before the calls are sent.
     latest_contact: Micros,
-    /// Silence after which machines with replicas are probed.
+    /// Time without contact after which machines with replicas are probed.
     probe_interval: Micros,
 }
 
@@ -57,16 +59,16 @@
     machine: MachineId,
     address: SocketAddr,
     term: u64,
-    /// Session for which the commands are meant: the worker refuses them in any other.
+    /// Session that the commands are for; the worker refuses them in any other session.
     session: u64,
-    /// When any machine was last in contact, before the call was sent.
+    /// Time of the latest contact with any machine, taken before the call was sent.
     latest_contact: Micros,
     commands: Vec<Command>,
 }
 
 impl Controller {
-    /// Sends commands where some are due, and our token alone where the worker does not hold it yet.
-    /// `only`: to these machines; to all otherwise.
+    /// Sends due commands to the machines in `only`, or to all machines if it is `None`. A worker that
+    /// is not fenced yet receives only the fencing token.
     pub fn dispatch_commands(
         self: &Rc<Controller>,
         now: Micros,
@@ -74,7 +76,7 @@
     ) {
         let view = self.watch_cache.view();
         let mut machines = self.workers.machines.borrow_mut();
-        let dispatch = Dispatch {
+        let context = DispatchContext {
             view: &view,
             now,
             latest_contact: latest_contact(&machines),
@@ -84,10 +86,10 @@
             self.workers.unsettled.borrow_mut().clear();
         }
         let ids: Vec<MachineId> = match only {
-            Some(list) => list.iter().cloned().collect(),
+            Some(selected) => selected.iter().cloned().collect(),
             None => machines.keys().cloned().collect(),
         };
-        let max_calls = self.settings.max_connections / CALLS_DIVISOR_OF_CONNECTIONS;
+        let max_calls = self.settings.max_connections / MAX_CALLS_CONNECTION_DIVISOR;
         let mut calls_left = max_calls.saturating_sub(self.http.used());
         for id in &ids {
             let Some(worker) = machines.get_mut(id) else {
@@ -95,11 +97,11 @@
             };
             worker.outstanding.quiescent = false;
             worker.outstanding.recheck_after_call = worker.outstanding.in_flight;
-            let Some(call) = self.due_call(&dispatch, id, worker) else {
+            let Some(call) = self.due_call(&context, id, worker) else {
                 continue;
             };
             if calls_left == 0 {
-                // The next pass goes on with it.
+                // The next pass handles this machine.
                 self.workers.changed.borrow_mut().insert(id.clone());
                 continue;
             }
@@ -108,16 +110,16 @@
         }
     }
 
-    /// The call to make to a machine now, if any.
+    /// Returns the call to make to a machine now, if any.
     fn due_call(
         &self,
-        dispatch: &Dispatch<'_>,
+        context: &DispatchContext<'_>,
         id: &MachineId,
         worker: &mut WorkerState,
     ) -> Option<DirectCall> {
-        let record = dispatch.view.machines.get(id)?;
+        let record = context.view.machines.get(id)?;
         let outstanding = &worker.outstanding;
-        let callable = !outstanding.in_flight && dispatch.now >= outstanding.not_before;
+        let callable = !outstanding.in_flight && context.now >= outstanding.not_before;
         let address = worker.identity.address.filter(|_| callable)?;
         if matches!(record.state, MachineState::Booting) {
             return None;
@@ -126,9 +128,9 @@
             0 => record.session,
             session => session,
         };
-        // Until the worker is fenced, the call only shows it our token.
+        // Until the worker is fenced, the call only delivers the fencing token.
         let commands = if worker.fenced() {
-            self.due_commands(dispatch, id, worker)?
+            self.due_commands(context, id, worker)?
         } else {
             Vec::new()
         };
@@ -137,44 +139,46 @@
             address,
             term: worker.term,
             session,
-            latest_contact: dispatch.latest_contact,
+            latest_contact: context.latest_contact,
             commands,
         })
     }
 
-    /// The commands for a call to a fenced machine; none if it need not be called.
+    /// Returns the commands for a call to a fenced machine, or `None` if no call is needed. A probe has
+    /// an empty list.
     fn due_commands(
         &self,
-        dispatch: &Dispatch<'_>,
+        context: &DispatchContext<'_>,
         id: &MachineId,
         worker: &mut WorkerState,
     ) -> Option<Vec<Command>> {
-        let now = dispatch.now;
+        let now = context.now;
         let time_since_contact = worker.time_since_contact(now);
         let overdue = self.heartbeat_overdue(time_since_contact);
         let probe = overdue
-            || (time_since_contact > dispatch.probe_interval && runs_replicas(dispatch.view, id));
-        let mut list = commands(dispatch.view, id, worker, CommandChannel::Direct);
+            || (time_since_contact > context.probe_interval && runs_replicas(context.view, id));
+        let mut due = commands(context.view, id, worker, CommandChannel::Direct);
         let mut unsettled = self.workers.unsettled.borrow_mut();
-        if list.is_empty() {
+        if due.is_empty() {
             unsettled.remove(id);
         } else {
             unsettled.insert(id.clone());
         }
         let failed_at = worker.probes.last_failed_at;
         let failed_recently =
-            failed_at > 0 && now.saturating_sub(failed_at) < NO_DIRECT_STARTS_AFTER_FAILURE;
+            failed_at > 0 && now.saturating_sub(failed_at) < DIRECT_START_PAUSE_AFTER_FAILURE;
         if overdue || failed_recently {
-            // The machine may be gone. A start would only become one more that may run late; a stop
-            // may end a cancelled task there, and the reply shows that the machine lives.
-            list.retain(|command| !matches!(command, Command::Start { .. }));
+            // The machine may be dead. A start would only add another one that may be executed late. A
+            // stop is still sent: it may end a cancelled task, and its reply shows that the machine is
+            // alive.
+            due.retain(|command| !matches!(command, Command::Start { .. }));
         }
-        list.retain(|command| !worker.recently_sent(command, now, REPEAT_INTERVAL));
-        list.truncate(MAX_COMMANDS_PER_MESSAGE);
-        (probe || !list.is_empty()).then_some(list)
+        due.retain(|command| !worker.recently_sent(command, now, COMMAND_REPEAT_INTERVAL));
+        due.truncate(MAX_COMMANDS_PER_MESSAGE);
+        (probe || !due.is_empty()).then_some(due)
     }
 
-    /// Records a call as in flight and starts it.
+    /// Marks a call as in flight and spawns it.
     fn send(self: &Rc<Controller>, worker: &mut WorkerState, call: DirectCall, now: Micros) {
         worker.record_sent_commands(&call.commands, now);
         worker.record_direct_starts(&call.commands);
@@ -215,7 +219,8 @@
         }
     }
 
-    /// Applies the reply to a call, or its absence. Returns whether the machine is to be looked at again.
+    /// Applies the reply to a call, or its failure. Returns whether the machine has to be checked
+    /// again.
     fn apply_reply(
         &self,
         call: &DirectCall,
@@ -230,30 +235,31 @@
         worker.outstanding.in_flight = false;
         match reply {
             Ok(reply) if reply.status == 200 || reply.status == 409 => {
-                let Some(outcome) = self.apply_answer(worker, call, &reply, now) else {
+                let Some(outcome) = self.apply_worker_reply(worker, call, &reply, now) else {
                     return true;
                 };
-                // The reply to a call without commands that brought nothing new leaves everything as it was.
-                let look_again = outcome.changed
+                // A reply without news to a call without commands requires no further check.
+                let needs_check = outcome.changed
                     || !call.commands.is_empty()
                     || !worker.fenced()
                     || worker.outstanding.recheck_after_call;
                 drop(machines);
                 self.record_task_outcomes(&call.machine, outcome, now);
-                look_again
+                needs_check
             }
             Err(WireError::Sockets) => {
-                // Nothing was sent, and it says nothing about the machine.
+                // Nothing was sent because no socket was available, so the failure is not the
+                // machine's.
                 worker.acknowledge_direct(&call.commands);
                 worker.remove_sent_commands(&call.commands);
-                worker.outstanding.not_before = now + RETRY_AFTER_FAILURE;
+                worker.outstanding.not_before = now + RETRY_DELAY_AFTER_FAILURE;
                 true
             }
             failed => {
                 if let Err(error) = &failed {
                     tracing::debug!(machine = %call.machine, %error, "direct call to worker failed");
                 }
-                worker.outstanding.not_before = now + RETRY_AFTER_FAILURE;
+                worker.outstanding.not_before = now + RETRY_DELAY_AFTER_FAILURE;
                 self.workers.record_probe_failure(worker, now);
                 worker.record_missed_probe(call.latest_contact, now);
                 drop(machines);
@@ -263,9 +269,9 @@
         }
     }
 
-    /// Applies a reply of the worker: commands executed, or refused as a whole. None if it is no message
-    /// of this worker.
-    fn apply_answer(
+    /// Applies a reply in which the worker executed the commands or refused all of them. Returns `None`
+    /// if it is not a valid message of the called worker.
+    fn apply_worker_reply(
         &self,
         worker: &mut WorkerState,
         call: &DirectCall,
@@ -273,11 +279,11 @@
         now: Micros,
     ) -> Option<HeartbeatOutcome> {
         if reply.status == 409 {
-            worker.outstanding.not_before = now + RETRY_AFTER_REFUSAL;
+            worker.outstanding.not_before = now + RETRY_DELAY_AFTER_REFUSAL;
         }
         let message = decode::<Heartbeat>(&reply.body);
         let Some(message) = message.ok().filter(|m| *m.machine == *call.machine) else {
-            worker.outstanding.not_before = now + RETRY_AFTER_INVALID_REPLY;
+            worker.outstanding.not_before = now + RETRY_DELAY_AFTER_INVALID_REPLY;
             return None;
         };
         worker.acknowledge_direct(&call.commands);
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -1,8 +1,8 @@
-//! Which commands a machine needs: the difference between its task blocks and its newest message. Pure.
+//! Commands that a machine needs: the difference between its task blocks and its newest message. Pure.
 //!
-//! Also keeps account of starts that were sent and may not be executed yet
-//! ([`OutstandingCommands`](super::OutstandingCommands)): until it is certain that such a start cannot
-//! run any more, its attempt is neither forgotten by the worker nor taken for ended.
+//! Also tracks starts that were sent and may not have been executed yet
+//! ([`OutstandingCommands`](super::OutstandingCommands)). Until it is certain that such a start can no
+//! longer be executed, no `Forget` is sent for its attempt, and the attempt is not recorded as ended.
 
 use super::worker_state::{ObservedTask, TaskAttempt, WorkerState};
 use crate::ids::MachineId;
@@ -12,20 +12,22 @@
 use crate::wire::worker::{Command, TaskStatus};
 use std::collections::BTreeMap;
 
-/// Direct commands are remembered for this long, to not repeat them too soon.
-const RECENT_COMMANDS_MEMORY: Micros = 5 * SECOND;
+/// Time for which sent direct commands are kept, to prevent sending them again too soon.
+const RECENT_COMMAND_RETENTION: Micros = 5 * SECOND;
 
-/// How commands reach the worker.
+/// Channel through which commands reach the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CommandChannel {
-    /// In the answer to its newest heartbeat: executed before its next heartbeat or never. Only there
-    /// is `Forget` allowed, because nothing given there is executed late.
+    /// The answer to the worker's newest heartbeat. Its commands are executed before the worker's next
+    /// heartbeat or never. `Forget` is allowed only here, because no command in an answer is executed
+    /// late.
     HeartbeatAnswer,
-    /// By a direct call, which may be executed at any later time unless it was acknowledged.
+    /// A direct call. Its commands may be executed at any later time until the call is acknowledged.
     Direct,
 }
 
-/// The commands that a machine needs now. Notes the starts that go out in the answer to a heartbeat.
+/// Returns the commands that a machine needs now. Records the starts that are sent in the answer to a
+/// heartbeat.
 pub fn commands(
     view: &ClusterState,
     machine: &MachineId,
@@ -58,7 +60,7 @@
     out
 }
 
-/// What a placement is to do: `None` to run, or to stop with this grace period.
+/// Returns the grace period with which a placement is to be stopped, or `None` if it is to run.
 pub(super) fn desired_stop(
     view: &ClusterState,
     job: &JobId,
@@ -70,8 +72,8 @@
     }
 }
 
-/// A task on the machine that its block does not place there: it is stopped, and forgotten once it
-/// has exited.
+/// Returns the command for a task on the machine that its block does not place there: it is stopped,
+/// and removed with `Forget` once it has exited.
 fn command_for_unwanted(
     worker: &WorkerState,
     key: &(JobId, u32),
@@ -86,7 +88,8 @@
             grace_period_s: 0.0,
         });
     }
-    // Not before every direct start of it was acknowledged: a late one would start it again.
+    // Every direct start of the attempt has to be acknowledged first: after `Forget`, a late start
+    // would run it again.
     let unacknowledged = &worker.outstanding.unacknowledged_starts;
     let may_forget = channel == CommandChannel::HeartbeatAnswer
         && worker.fenced()
@@ -97,7 +100,7 @@
     })
 }
 
-/// A task that its block places on the machine, in the machine's session.
+/// Returns the command for a task that its block places on the machine in the worker's current session.
 fn command_for_placed(
     worker: &mut WorkerState,
     key: &(JobId, u32),
@@ -113,7 +116,7 @@
         (None, None) => {
             let start = (key.0.clone(), key.1, placement.attempt);
             if in_answer {
-                note_start_in_response(worker, start);
+                record_start_in_response(worker, start);
             } else if worker.outstanding.unacknowledged_starts.contains(&start) {
                 return None;
             }
@@ -122,20 +125,22 @@
                 attempt,
             })
         }
-        // The old attempt is forgotten by a command before this one, in the same answer.
-        (Some(o), None)
-            if in_answer && o.attempt < placement.attempt && o.status == TaskStatus::Exited =>
+        // An earlier command in the same answer makes the worker forget the old attempt.
+        (Some(current), None)
+            if in_answer
+                && current.attempt < placement.attempt
+                && current.status == TaskStatus::Exited =>
         {
-            note_start_in_response(worker, (key.0.clone(), key.1, placement.attempt));
+            record_start_in_response(worker, (key.0.clone(), key.1, placement.attempt));
             Some(Command::Start {
                 task: task(),
                 attempt,
             })
         }
-        (Some(o), Some(grace)) if o.attempt == placement.attempt => {
-            let saves_checkpoint = o.status == TaskStatus::Saving && grace > 0;
-            let stops = o.status != TaskStatus::Exited && !saves_checkpoint;
-            stops.then(|| Command::Stop {
+        (Some(current), Some(grace)) if current.attempt == placement.attempt => {
+            let saves_checkpoint = current.status == TaskStatus::Saving && grace > 0;
+            let needs_stop = current.status != TaskStatus::Exited && !saves_checkpoint;
+            needs_stop.then(|| Command::Stop {
                 task: task(),
                 attempt,
                 grace_period_s: to_secs(grace),
@@ -145,7 +150,8 @@
     }
 }
 
-fn note_start_in_response(worker: &mut WorkerState, start: TaskAttempt) {
+/// Records a start that is sent in the answer to the newest heartbeat.
+fn record_start_in_response(worker: &mut WorkerState, start: TaskAttempt) {
     let answered = worker.heartbeat.heartbeat_sequence;
     worker
         .outstanding
@@ -153,7 +159,7 @@
         .insert(start, answered);
 }
 
-/// The attempts that these commands start.
+/// Returns the attempts that `commands` start.
 fn started_attempts(commands: &[Command]) -> impl Iterator<Item = TaskAttempt> {
     commands.iter().filter_map(|command| {
         let Command::Start { task, attempt } = command else {
@@ -165,42 +171,42 @@
 }
 
 impl WorkerState {
-    /// Whether this direct command went out less than `span` ago.
-    pub fn recently_sent(&self, command: &Command, now: Micros, span: Micros) -> bool {
+    /// Returns whether a direct command was sent less than `interval` ago.
+    pub fn recently_sent(&self, command: &Command, now: Micros, interval: Micros) -> bool {
         let recent = &self.outstanding.recent_commands;
         recent
             .iter()
-            .any(|(at, sent)| sent == command && now.saturating_sub(*at) < span)
+            .any(|(at, sent)| sent == command && now.saturating_sub(*at) < interval)
     }
 
-    /// Remembers direct commands that go out, so that they are not repeated too soon.
+    /// Records direct commands that are being sent, so that they are not repeated too soon.
     pub fn record_sent_commands(&mut self, commands: &[Command], now: Micros) {
         let recent = &mut self.outstanding.recent_commands;
-        recent.retain(|(at, _)| now.saturating_sub(*at) < RECENT_COMMANDS_MEMORY);
+        recent.retain(|(at, _)| now.saturating_sub(*at) < RECENT_COMMAND_RETENTION);
         recent.extend(commands.iter().map(|command| (now, command.clone())));
     }
 
-    /// Forgets direct commands that did not go out after all.
+    /// Removes the record of direct commands that could not be sent.
     pub fn remove_sent_commands(&mut self, commands: &[Command]) {
         let recent = &mut self.outstanding.recent_commands;
         recent.retain(|(_, sent)| !commands.contains(sent));
     }
 
-    /// Records direct starts that go out: until acknowledged they may be executed at any time.
+    /// Records direct starts that are being sent. Until acknowledged, they may be executed at any time.
     pub fn record_direct_starts(&mut self, commands: &[Command]) {
         let starts = started_attempts(commands);
         self.outstanding.unacknowledged_starts.extend(starts);
     }
 
-    /// Direct commands were acknowledged: executed, or refused as a whole.
+    /// Records that direct commands were acknowledged: all were executed or refused, or none was sent.
     pub fn acknowledge_direct(&mut self, commands: &[Command]) {
         for start in started_attempts(commands) {
             self.outstanding.unacknowledged_starts.remove(&start);
         }
     }
 
-    /// Whether an unacknowledged direct start keeps an attempt from being forgotten, moved or started
-    /// again. Only a higher term, seen by the worker, makes such a start impossible.
+    /// Returns whether an unacknowledged direct start prevents an attempt from being forgotten, moved
+    /// or started again. Such a start becomes impossible only when the worker has seen a higher term.
     pub fn blocked_by_unacknowledged_start(&self) -> bool {
         let may_still_start = |(job, index, attempt): &TaskAttempt| {
             self.tasks
