--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -1,7 +1,7 @@
-//! Applying one message of a worker to its [`WorkerState`]. Pure.
+//! Application of a worker's message to its [`WorkerState`]. Pure.
 //!
-//! A message counts only if it is newer than everything applied before it (session, then sequence
-//! number): messages may arrive late or twice.
+//! A message is applied only if it is newer than all messages applied before (by session, then sequence
+//! number), because messages may arrive late or twice.
 
 use super::task_durations::{FinishedTask, TaskDurations};
 use super::worker_state::{MachineDescription, ObservedTask, TaskFailure, WorkerState};
@@ -10,23 +10,23 @@
 use crate::wire::worker::{ExitReason, Heartbeat, ReportedTask, TaskStatus};
 use std::collections::BTreeMap;
 
-/// A failed task speaks against its machine for this long.
-const FAILURE_MEMORY: Micros = 120 * SECOND;
+/// Time for which a failed task counts against its machine.
+const FAILURE_RETENTION: Micros = 120 * SECOND;
 
-/// How a message of a worker reached us.
+/// Way in which a worker's message was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// The worker's own periodic heartbeat: our answer to it renews the worker's lease.
+    /// A periodic heartbeat sent by the worker. The answer to it renews the worker's lease.
     Periodic,
-    /// The reply to a direct call of ours: it renews no lease, and proves nothing about commands
-    /// given in the answer to a periodic heartbeat.
+    /// The reply to a direct call. It renews no lease, and it does not show whether commands in the
+    /// answer to a periodic heartbeat were executed.
     CommandReply,
 }
 
-/// What a message changed.
+/// Changes that resulted from a message.
 #[derive(Default)]
 pub struct HeartbeatOutcome {
-    /// Whether anything differs from what was known.
+    /// Whether the message changed the worker's state.
     pub changed: bool,
     /// Tasks that completed.
     pub finished: Vec<FinishedTask>,
@@ -35,7 +35,7 @@
 }
 
 impl WorkerState {
-    /// Applies a message of the worker if it is newer than what is known.
+    /// Applies a message of the worker if it is newer than all messages applied so far.
     pub fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -49,7 +49,7 @@
         let new_session = heartbeat.session > self.session;
         if new_session {
             outcome.changed = true;
-            self.forget_previous_session();
+            self.clear_previous_session();
         }
         self.session = heartbeat.session;
         self.heartbeat.sequence = heartbeat.sequence;
@@ -64,17 +64,18 @@
         outcome.changed |= self.record_preemption_notice(heartbeat.preemption_notice_s, now);
         self.record_tasks(&heartbeat.tasks, now, &mut outcome);
         self.outstanding.quiescent &= !outcome.changed;
-        self.forget_old_failures(now);
+        self.remove_expired_failures(now);
         outcome
     }
 
-    /// Whether a message is newer than everything applied so far.
+    /// Returns whether a message is newer than all messages applied so far.
     pub fn is_newer(&self, heartbeat: &Heartbeat) -> bool {
         (heartbeat.session, heartbeat.sequence) > (self.session, self.heartbeat.sequence)
     }
 
-    /// A worker with a new session has killed and forgotten all tasks of the one before.
-    fn forget_previous_session(&mut self) {
+    /// Clears the state of the previous session: a worker that starts a new session has killed and
+    /// forgotten all tasks of the previous one.
+    fn clear_previous_session(&mut self) {
         self.tasks.clear();
         self.outstanding.starts_in_response.clear();
         self.outstanding.unacknowledged_starts.clear();
@@ -91,7 +92,8 @@
         self.probes.last_counted_answer_at = now;
     }
 
-    /// Returns whether the worker showed a higher token, or ours for the first time in its session.
+    /// Returns whether the worker reported a higher token, or this term's token for the first time in
+    /// its session.
     fn record_fencing_token(&mut self, token: u64, new_session: bool, now: Micros) -> bool {
         let mut changed = false;
         if token > self.heartbeat.fencing_token {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Returns whether a notice came or was taken back.
+    /// Returns whether a preemption notice was received or withdrawn.
     fn record_preemption_notice(&mut self, notice_s: Option<f64>, now: Micros) -> bool {
         let preempted_at = notice_s.map(|s| now + from_secs(s));
         let changed = preempted_at.is_some() != self.heartbeat.preempted_at.is_some();
@@ -136,7 +138,7 @@
         let mut tasks = BTreeMap::new();
         self.invalid_task_count = 0;
         for task in reported {
-            let Some((key, observed)) = self.observe(task, now) else {
+            let Some((key, observed)) = self.observe_task(task, now) else {
                 self.invalid_task_count += 1;
                 continue;
             };
@@ -154,19 +156,26 @@
         self.tasks = tasks;
     }
 
-    /// The task as reported, with the times that follow from the message before; `None` if its name
-    /// or attempt is none of ours.
-    fn observe(&self, task: &ReportedTask, now: Micros) -> Option<((JobId, u32), ObservedTask)> {
+    /// Returns the task as reported, with the times that follow from the previous message, or `None` if
+    /// its name or attempt number is not valid.
+    fn observe_task(
+        &self,
+        task: &ReportedTask,
+        now: Micros,
+    ) -> Option<((JobId, u32), ObservedTask)> {
         let (job, index) = parse_task(&task.task)?;
         let attempt = u32::try_from(task.attempt).ok()?;
         let key: (JobId, u32) = (job.into(), index);
         let previous = self.tasks.get(&key).filter(|p| p.attempt == attempt);
         let same_status = previous.filter(|p| p.status == task.status);
         let fetch_time = match previous {
-            Some(p) if p.status == TaskStatus::Fetching && task.status != TaskStatus::Fetching => {
-                now - p.since
+            Some(earlier)
+                if earlier.status == TaskStatus::Fetching
+                    && task.status != TaskStatus::Fetching =>
+            {
+                now - earlier.since
             }
-            Some(p) => p.fetch_time,
+            Some(earlier) => earlier.fetch_time,
             None => 0,
         };
         let observed = ObservedTask {
@@ -179,7 +188,7 @@
         Some((key, observed))
     }
 
-    /// Counts the end of an attempt once. `self.tasks` still holds the message before.
+    /// Counts the exit of an attempt once. `self.tasks` still holds the tasks of the previous message.
     fn count_exit(
         &mut self,
         key: &(JobId, u32),
@@ -216,11 +225,13 @@
         }
     }
 
-    fn forget_old_failures(&mut self, now: Micros) {
+    fn remove_expired_failures(&mut self, now: Micros) {
         let tasks = &self.tasks;
         self.failures
             .counted_exits
             .retain(|(job, index, _)| tasks.contains_key(&(job.clone(), *index)));
-        self.failures.errors.retain(|e| now - e.at < FAILURE_MEMORY);
+        self.failures
+            .errors
+            .retain(|e| now - e.at < FAILURE_RETENTION);
     }
 }
--- a/src/workers/heartbeat_handler.rs
+++ b/src/workers/heartbeat_handler.rs
@@ -1,7 +1,7 @@
-//! Answering the periodic heartbeats of workers.
+//! Answers to the periodic heartbeats of workers.
 //!
-//! An answer renews the worker's lease and carries commands. It is given only by the owner of the
-//! machine's shard, and only while that owner knows of every cancellation early enough.
+//! An answer renews the worker's lease and carries commands. Only the owner of the machine's shard
+//! answers, and only while its view contains all cancellations up to a recent enough time.
 
 use super::commands::{CommandChannel, commands};
 use super::heartbeat::{HeartbeatOutcome, HeartbeatSource};
@@ -16,25 +16,26 @@
 use crate::wire::server::Response;
 use crate::wire::worker::{Command, CommandBatch, Heartbeat, LeaderRedirect};
 
-/// Commands in one message to a worker: it may hold 64 KiB.
+/// Maximum number of commands in one message to a worker, whose size limit is 64 KiB.
 pub(super) const MAX_COMMANDS_PER_MESSAGE: usize = 400;
 
-/// The name of the controller to which a worker that shows this fencing token is redirected by one that
-/// does not own its shard, if the owner is known. A token higher than the shard's term here means that
-/// there is a newer owner of whom this view has not heard: redirected by such a view, a worker would
-/// go back and forth between controllers that are both behind, until its lease ended its tasks.
+/// Returns the name of the controller to which a controller that does not own the shard redirects a
+/// worker with this fencing token, or `None` if the owner is unknown. A token higher than the shard's
+/// term in this view means that the view does not contain the newest owner yet. If such a view
+/// redirected workers, a worker could go back and forth between two controllers with outdated views
+/// until its lease expired and its tasks ended.
 pub fn redirect_target<'a>(
     view: &'a ClusterState,
-    me: &str,
+    own_name: &str,
     shard: u32,
     fencing_token: u64,
 ) -> Option<&'a str> {
     let shard = view.shards.get(&shard)?;
-    let owner_lives = view
+    let owner_is_alive = view
         .members
         .get(&shard.owner)
         .is_some_and(|m| m.lease == shard.lease);
-    (owner_lives && shard.owner != me && fencing_token <= shard.term)
+    (owner_is_alive && shard.owner != own_name && fencing_token <= shard.term)
         .then_some(shard.owner.as_str())
 }
 
@@ -63,7 +64,7 @@
             return Response::status(503);
         }
         if heartbeat.fencing_token > term {
-            // A newer owner drives this machine; our view is behind.
+            // The machine has a newer owner that this controller's view does not contain yet.
             return Response::status(503);
         }
         let (outcome, commands) = self.apply_periodic(&view, &machine, term, &heartbeat, now);
@@ -85,7 +86,7 @@
         )
     }
 
-    /// Applies a heartbeat that will be answered, and gives the commands for the answer.
+    /// Applies a heartbeat that will be answered, and returns the commands for the answer.
     fn apply_periodic(
         &self,
         view: &ClusterState,
@@ -103,21 +104,22 @@
         }
         let newer = worker.is_newer(heartbeat);
         let outcome = worker.apply_heartbeat(heartbeat, HeartbeatSource::Periodic, now);
-        // An old or repeated message gets no commands, but its answer renews the lease all the same.
+        // The answer to an old or repeated message has no commands, but it renews the lease.
         worker.heartbeat.last_answered_at = Some(now);
-        // Most heartbeats say what the one before said, and nothing was written about the machine since.
-        let look =
+        // Usually a heartbeat repeats the previous one and no record of the machine has changed since,
+        // so that no commands need to be computed.
+        let needs_commands =
             newer && (!worker.outstanding.quiescent || view.changed_machines.contains(machine));
-        if !look {
+        if !needs_commands {
             return (outcome, Vec::new());
         }
-        let mut list = commands(view, machine, worker, CommandChannel::HeartbeatAnswer);
-        worker.outstanding.quiescent = list.is_empty();
-        list.truncate(MAX_COMMANDS_PER_MESSAGE);
-        (outcome, list)
+        let mut due = commands(view, machine, worker, CommandChannel::HeartbeatAnswer);
+        worker.outstanding.quiescent = due.is_empty();
+        due.truncate(MAX_COMMANDS_PER_MESSAGE);
+        (outcome, due)
     }
 
-    /// Redirects a worker to the owner of its shard, if that is known.
+    /// Redirects a worker to the owner of its shard, or answers 503 if the owner is unknown.
     fn redirect(
         &self,
         view: &ClusterState,
@@ -125,19 +127,20 @@
         heartbeat: &Heartbeat,
         now: Micros,
     ) -> Response {
-        let Some(to) = redirect_target(view, self.me(), shard, heartbeat.fencing_token) else {
+        let Some(target) = redirect_target(view, self.me(), shard, heartbeat.fencing_token) else {
             return Response::status(503);
         };
-        self.workers.record_redirect(&heartbeat.machine, to, now);
+        self.workers
+            .record_redirect(&heartbeat.machine, target, now);
         Response::with(
             421,
             &LeaderRedirect {
-                report_to: Some(to.to_string()),
+                report_to: Some(target.to_string()),
             },
         )
     }
 
-    /// Notes the startup milestone of the first task start.
+    /// Records the startup milestone of the first task start, if `commands` contain a start.
     pub(super) fn record_first_start(&self, commands: &[Command]) {
         let is_start = |command: &Command| matches!(command, Command::Start { .. });
         if commands.iter().any(is_start) {
--- a/src/workers/worker_state.rs
+++ b/src/workers/worker_state.rs
@@ -1,8 +1,8 @@
-//! What the owner of a shard knows about one worker, in memory only.
+//! State of one worker as seen by the owner of its shard, in memory only.
 //!
-//! A [`WorkerState`] lives in the [`WorkerRegistry`](super::WorkerRegistry) and belongs to one term of
-//! the shard: a new term starts with a new one. `heartbeat` changes it when a message arrives,
-//! `liveness` when a call fails, `commands` and `command_dispatch` when commands go out.
+//! A [`WorkerState`] is stored in the [`WorkerRegistry`](super::WorkerRegistry) and belongs to one term
+//! of the shard; a new term starts with a new state. `heartbeat` changes it when a message arrives,
+//! `liveness` when a call fails, `commands` and `command_dispatch` when commands are sent.
 
 use crate::jobs::model::JobId;
 use crate::time::Micros;
@@ -11,114 +11,117 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// One attempt of a task: job, index of the task in the job, attempt.
+/// One attempt of a task: job, index of the task in the job, attempt number.
 pub type TaskAttempt = (JobId, u32, u32);
 
 /// A task as last reported by its worker.
 #[derive(Clone, Debug)]
 pub struct ObservedTask {
-    /// Attempt that runs or ran.
+    /// Number of the attempt that runs or ran.
     pub attempt: u32,
-    /// State.
+    /// Reported status.
     pub status: TaskStatus,
-    /// Why it exited, if it did.
+    /// Reason of the exit, if the task has exited.
     pub reason: Option<ExitReason>,
-    /// When it was first seen in this state, by our clock.
+    /// Time at which the task was first seen with this status, by this controller's clock.
     pub since: Micros,
-    /// How long the image fetch took; 0 while it goes on or if it was not observed.
+    /// Duration of the image fetch; 0 while it is in progress or if it was not observed.
     pub fetch_time: Micros,
 }
 
-/// What a machine is, as its worker describes it.
+/// Description of a machine as reported by its worker.
 #[derive(Clone, Debug)]
 pub struct MachineDescription {
-    /// Machine type, by the cloud's name.
+    /// Machine type, as named by the cloud.
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether the cloud may take it back on short notice.
+    /// Whether the cloud may preempt the machine on short notice.
     pub spot: bool,
     /// Address of the worker as reported.
     pub address: String,
 }
 
-/// Who the worker is and where it listens.
+/// Address and machine of a worker.
 #[derive(Debug, Default)]
 pub struct WorkerIdentity {
-    /// Where the worker accepts direct calls.
+    /// Address at which the worker accepts direct calls.
     pub address: Option<SocketAddr>,
-    /// What the machine is; `None` until the first message under this term.
+    /// Description of the machine; `None` until the first message under this term.
     pub description: Option<MachineDescription>,
 }
 
-/// What the worker's messages said and when they came, by our clock.
+/// Content and times of the worker's messages, by this controller's clock.
 #[derive(Debug)]
 pub struct HeartbeatHistory {
     /// Sequence number of the newest message.
     pub sequence: u64,
     /// Sequence number of the newest periodic heartbeat (not of a reply to a direct call).
     pub heartbeat_sequence: u64,
-    /// Highest fencing token that the worker has shown.
+    /// Highest fencing token that the worker has reported.
     pub fencing_token: u64,
-    /// When it first showed our token in this session.
+    /// Time at which the worker first reported this term's token in its session.
     pub fenced_at: Option<Micros>,
-    /// When any message came last; until the first one, when this term began.
+    /// Time of the last message of any kind; until the first one, start of this term.
     pub last_contact_at: Micros,
-    /// When a periodic heartbeat came last: only the answer to one renews the worker's lease. Until
-    /// the first one, when this term began.
+    /// Time of the last periodic heartbeat; until the first one, start of this term. Only the answer to
+    /// a periodic heartbeat renews the worker's lease.
     pub last_heartbeat_at: Micros,
-    /// Whether a periodic heartbeat came under this term.
+    /// Whether a periodic heartbeat was received under this term.
     pub heartbeat_received: bool,
-    /// When we last answered a periodic heartbeat, and so renewed the worker's lease.
+    /// Time at which this controller last answered a periodic heartbeat and thereby renewed the
+    /// worker's lease.
     pub last_answered_at: Option<Micros>,
-    /// When the cloud takes the machine back, if it has given notice.
+    /// Time at which the cloud preempts the machine, if it has given notice.
     pub preempted_at: Option<Micros>,
 }
 
-/// How the worker answered our own calls.
+/// Results of the direct calls to the worker.
 #[derive(Debug)]
 pub struct ProbeHistory {
-    /// When a call last went unanswered; 0 if none did.
+    /// Time of the last unanswered call; 0 if there was none.
     pub last_failed_at: Micros,
-    /// Unanswered calls since the last message.
+    /// Number of unanswered calls since the last message.
     pub missed_probes: u32,
-    /// When the first of `missed_probes` failed.
+    /// Time at which the first of `missed_probes` failed.
     pub first_missed_at: Micros,
-    /// A call went unanswered that was sent after another machine had been in contact since the
-    /// first missed probe: the machine is gone, we are not the ones cut off.
+    /// Whether a call went unanswered that was sent after another machine had been in contact since the
+    /// first missed probe. Then the machine is dead and this controller is not isolated.
     pub confirmed_dead: bool,
-    /// Answered calls since the last periodic heartbeat, each at least one heartbeat interval after
-    /// the one before.
+    /// Number of answered calls since the last periodic heartbeat. An answer counts only if it comes at
+    /// least one heartbeat interval after the one counted before.
     pub(super) answered_without_heartbeat: u32,
-    /// When the last of these was counted; at first, when the heartbeat came.
+    /// Time of the last counted answer or the last periodic heartbeat, whichever is later; at first,
+    /// start of this term.
     pub(super) last_counted_answer_at: Micros,
 }
 
-/// Commands that were sent and may not be executed yet, and what dispatch does next.
+/// Commands that were sent and may not have been executed yet, and the state of command dispatch.
 #[derive(Debug)]
 pub struct OutstandingCommands {
-    /// Starts given in the answer to a heartbeat, with that heartbeat's sequence number.
+    /// Starts sent in the answer to a heartbeat, with that heartbeat's sequence number.
     pub(super) starts_in_response: HashMap<TaskAttempt, u64>,
     /// Direct starts that were not acknowledged; each may still be executed at any time.
     pub(super) unacknowledged_starts: HashSet<TaskAttempt>,
-    /// Direct commands sent recently, and when.
+    /// Direct commands sent recently, with the times at which they were sent.
     pub(super) recent_commands: Vec<(Micros, Command)>,
     /// Whether a direct call is in flight.
     pub in_flight: bool,
-    /// No direct call before this time, because one failed; 0 if none did.
+    /// Earliest time of the next direct call after one that failed or was refused; 0 if none is set.
     pub not_before: Micros,
-    /// Something changed while a direct call was in flight: look at the machine again after it.
+    /// Whether the machine has to be checked again after the direct call in flight, because something
+    /// changed.
     pub recheck_after_call: bool,
-    /// The newest heartbeat needed no commands, and nothing has changed since.
+    /// Whether the newest heartbeat needed no commands and nothing has changed since.
     pub quiescent: bool,
 }
 
-/// A task that failed on the machine.
+/// A failure of a task on the machine.
 #[derive(Debug)]
 pub struct TaskFailure {
-    /// When, by our clock.
+    /// Time of the failure, by this controller's clock.
     pub at: Micros,
-    /// Its job.
+    /// Job of the task.
     pub job: JobId,
 }
 
@@ -127,35 +130,37 @@
 pub struct FailureHistory {
     /// Recent failures.
     pub errors: Vec<TaskFailure>,
-    /// Exits that were counted already; a worker reports an exit until it is told to forget the task.
+    /// Exits that were already counted. A worker reports an exit until it receives `Forget` for the
+    /// task.
     pub(super) counted_exits: HashSet<TaskAttempt>,
 }
 
-/// What the owner of a machine knows about its worker, under one term.
+/// State of a worker under one term of its machine's shard.
 #[derive(Debug)]
 pub struct WorkerState {
-    /// Term of the machine's shard: our fencing token.
+    /// Term of the machine's shard, which is the owner's fencing token.
     pub term: u64,
     /// Session (agent incarnation) of the newest message; 0 until the first.
     pub session: u64,
     /// Tasks in the newest message, by job and index.
     pub tasks: BTreeMap<(JobId, u32), ObservedTask>,
-    /// Names in the newest message that are no task names; no command is given for them.
+    /// Number of tasks in the newest message with an invalid name or attempt number, for which no
+    /// command is sent.
     pub invalid_task_count: usize,
-    /// Who it is.
+    /// Address and machine.
     pub identity: WorkerIdentity,
-    /// Its messages.
+    /// Received messages.
     pub heartbeat: HeartbeatHistory,
-    /// Its answers to our calls.
+    /// Results of direct calls.
     pub probes: ProbeHistory,
-    /// Commands under way.
+    /// Commands that may not have been executed yet.
     pub outstanding: OutstandingCommands,
-    /// Failures of its tasks.
+    /// Failures of tasks.
     pub failures: FailureHistory,
 }
 
 impl WorkerState {
-    /// A worker of which no message came under this term.
+    /// Returns the state of a worker from which no message was received under this term.
     pub fn new(term: u64, now: Micros) -> WorkerState {
         WorkerState {
             term,
@@ -173,12 +178,13 @@
         }
     }
 
-    /// Whether the worker is known to hold our token, so that commands of older owners are refused.
+    /// Returns whether the worker has confirmed this term's token, so that it refuses commands of
+    /// earlier owners.
     pub fn fenced(&self) -> bool {
         self.heartbeat.fencing_token == self.term && self.heartbeat.fenced_at.is_some()
     }
 
-    /// Time since the last message.
+    /// Returns the time since the last message.
     pub fn time_since_contact(&self, now: Micros) -> Micros {
         now.saturating_sub(self.heartbeat.last_contact_at)
     }
