--- a/src/workers/inbound_partition.rs
+++ b/src/workers/inbound_partition.rs
@@ -1,8 +1,8 @@
-//! Workers that answer our calls but whose heartbeats reach no controller (an inbound partition), and
-//! what a machine's record says from its worker's messages. Pure.
+//! Inbound partitions: workers that answer direct calls while their heartbeats reach no controller.
+//! Also the state of a machine's record as it follows from its worker's messages. Pure.
 //!
-//! Only the answer to a heartbeat renews a lease, so such a worker ends its tasks again and again: it
-//! is no machine to place work on.
+//! Only the answer to a heartbeat renews a lease, so the leases of such a worker keep expiring and end
+//! its tasks each time. No tasks should be placed on its machine.
 
 use super::worker_state::WorkerState;
 use crate::autoscaler::model::MachineState;
@@ -10,35 +10,36 @@
 use crate::time::Micros;
 use std::collections::BTreeMap;
 
-/// So many calls answered without a heartbeat in between are no coincidence: a worker that finds no
-/// controller at its first try has tried all of them by then.
-const PARTITION_PROBES: u32 = 3;
-/// A machine is replaced after so many leases without a heartbeat.
-const LEASES_BEFORE_REPLACEMENT: u64 = 3;
-/// More than one in so many fenced machines is too many for faults of single machines.
+/// Number of calls answered without a heartbeat in between after which a worker counts as partitioned.
+/// A worker whose first attempt reaches no controller has tried all of them by then.
+const PARTITION_ANSWERED_CALL_COUNT: u32 = 3;
+/// Number of lease durations without a heartbeat after which a machine is replaced.
+const REPLACEMENT_LEASE_COUNT: u64 = 3;
+/// Divisor of the number of fenced machines: more partitioned machines than the quotient cannot be
+/// explained by faults of single machines.
 const MANY_PARTITIONED_DIVISOR: usize = 3;
 
-/// What the owner does about a machine that sends no heartbeats although it answers calls.
+/// Measure taken by the owner of a machine that answers calls but sends no heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InboundPartition {
-    /// It sends heartbeats, or may yet: before its lease ended its tasks, moving them would leave
-    /// services without them for longer than waiting.
+    /// No measure: the machine sends heartbeats or may still resume them. Its tasks run until its lease
+    /// expires, and moving them earlier would interrupt services for longer than waiting does.
     None,
-    /// Its lease has ended what ran there: nothing is placed on it.
+    /// Placing no tasks on the machine: its lease has expired, which ended the tasks that ran there.
     Drain,
-    /// It has been partitioned for longer than it is worth to wait: terminated and replaced.
+    /// Terminating and replacing the machine: the partition has lasted too long to wait for its end.
     Replace,
 }
 
 impl WorkerState {
-    /// Whether the worker reaches no controller although calls reach it.
+    /// Returns whether the worker reaches no controller although calls reach the worker.
     pub fn inbound_partition(&self) -> bool {
-        self.fenced() && self.probes.answered_without_heartbeat >= PARTITION_PROBES
+        self.fenced() && self.probes.answered_without_heartbeat >= PARTITION_ANSWERED_CALL_COUNT
     }
 
-    /// Records an answered call. A controller that was suspended finds heartbeats of all machines
-    /// overdue, and those that it calls first are not partitioned for that: an answer counts only a
-    /// heartbeat interval after the one counted before.
+    /// Records an answered call. An answer counts only if at least one heartbeat interval has passed
+    /// since the last counted one: after a suspended controller resumes, the heartbeats of all machines
+    /// are overdue, and the machines that it calls first must not be taken for partitioned.
     pub fn record_answered_probe(&mut self, heartbeat_interval: Micros, now: Micros) {
         let probes = &mut self.probes;
         if now.saturating_sub(probes.last_counted_answer_at) >= heartbeat_interval {
@@ -48,8 +49,8 @@
     }
 }
 
-/// What to do about a machine that may be partitioned. While many are, it is no fault of single
-/// machines, and replacing or draining them would leave the fleet without.
+/// Returns the measure for a machine that may be partitioned. If many are, the cause is not in the
+/// single machines, and replacing or draining all of them would leave the fleet without capacity.
 pub fn inbound_partition(
     worker: &WorkerState,
     many_partitioned: bool,
@@ -59,15 +60,15 @@
     let without_heartbeat_for = now.saturating_sub(worker.heartbeat.last_heartbeat_at);
     if !worker.inbound_partition() || many_partitioned || without_heartbeat_for <= lease {
         InboundPartition::None
-    } else if without_heartbeat_for > lease * LEASES_BEFORE_REPLACEMENT {
+    } else if without_heartbeat_for > lease * REPLACEMENT_LEASE_COUNT {
         InboundPartition::Replace
     } else {
         InboundPartition::Drain
     }
 }
 
-/// Whether more than one in `MANY_PARTITIONED_DIVISOR` of the machines that hold our token are in an
-/// inbound partition.
+/// Returns whether more than one in `MANY_PARTITIONED_DIVISOR` of the fenced machines, and at least
+/// two, are in an inbound partition.
 pub fn many_inbound_partitions(machines: &BTreeMap<MachineId, WorkerState>) -> bool {
     let partitioned = machines.values().filter(|w| w.inbound_partition()).count();
     if partitioned < 2 {
@@ -77,7 +78,7 @@
     partitioned * MANY_PARTITIONED_DIVISOR > fenced
 }
 
-/// The state for the record of a machine that holds our token, from its worker's messages.
+/// Returns the state for the record of a fenced machine, derived from its worker's messages.
 pub fn reported_state(
     worker: &WorkerState,
     before: MachineState,
@@ -87,7 +88,7 @@
     match (before, partition) {
         (_, InboundPartition::Replace) => MachineState::Lost,
         _ if worker.heartbeat.preempted_at.is_some() => MachineState::Draining,
-        // A quarantined machine is being replaced already.
+        // A quarantined machine is already being replaced.
         (MachineState::Quarantined, _) => MachineState::Quarantined,
         (_, InboundPartition::Drain) => MachineState::Draining,
         (MachineState::Draining, InboundPartition::None) if heartbeats_resumed => MachineState::Up,
@@ -96,10 +97,11 @@
     }
 }
 
-/// The session in which a machine of ours may be given tasks, if it may: its worker must have answered
-/// under our token, and recently, and reach us, unless many machines are partitioned: then there is
-/// nowhere better, and what starts there runs for at least a lease. That the machine is up need not be
-/// written first.
+/// Returns the session in which tasks may be placed on a machine of an owned shard, or `None` if none
+/// may be placed. The worker must be fenced, must have been in contact recently, and must reach this
+/// controller. The last condition is dropped while many machines are partitioned: no better machine is
+/// available then, and a task that starts there runs for at least one lease. The machine need not be
+/// recorded as up before.
 pub fn schedulable_session(
     worker: &WorkerState,
     recorded_session: u64,
@@ -107,8 +109,8 @@
     (heartbeat_interval, now): (Micros, Micros),
 ) -> Option<u64> {
     let in_contact = worker.time_since_contact(now) < heartbeat_interval * 2;
-    let reaches_us = many_partitioned || !worker.inbound_partition();
+    let reaches_controller = many_partitioned || !worker.inbound_partition();
     let schedulable =
-        worker.fenced() && in_contact && reaches_us && worker.session >= recorded_session;
+        worker.fenced() && in_contact && reaches_controller && worker.session >= recorded_session;
     schedulable.then_some(worker.session)
 }
--- a/src/workers/liveness.rs
+++ b/src/workers/liveness.rs
@@ -1,7 +1,8 @@
-//! What silence of workers means: dead machines, our own isolation, expired leases. Pure.
+//! Conclusions from missing contact with workers: dead machines, isolation of this controller, expired
+//! leases. Pure.
 //!
-//! Silence alone proves nothing about tasks; only an expired lease of a worker that is known to hold
-//! our token does.
+//! Missing contact alone does not prove that tasks have ended. Only the expired lease of a worker that
+//! is fenced by this controller's token does.
 
 use super::worker_state::WorkerState;
 use crate::autoscaler::model::MachineState;
@@ -9,33 +10,36 @@
 use crate::time::{Micros, SECOND};
 use std::collections::BTreeMap;
 
-/// What is left of the time to cancel when the last task that we kept alive must have ended by its
-/// lease: allowance for clocks that drift apart and timers that fire late.
+/// Part of the cancellation deadline that must remain when the leases renewed by this controller have
+/// expired: allowance for clock drift and for timers that fire late.
 const CANCELLATION_MARGIN: Micros = 2 * SECOND;
 
-/// Allowance when a lease is taken for expired, beside its drift: for timers that fire late.
-const LEASE_MARGIN: Micros = SECOND;
+/// Time added to a lease and its clock drift before it counts as expired: allowance for timers that
+/// fire late.
+const LEASE_EXPIRY_MARGIN: Micros = SECOND;
 
-/// A lease as long as the worker's clock may take for it: clocks drift by at most one in a thousand.
-fn with_drift(lease: Micros) -> Micros {
+/// Returns the longest time that a lease may take by the worker's clock. Clocks drift by at most one in
+/// a thousand.
+fn with_clock_drift(lease: Micros) -> Micros {
     lease + lease / 1000
 }
 
-/// By what a worker's silence is judged.
+/// Inputs for the decision whether a machine is lost.
 #[derive(Clone, Copy, Debug)]
 pub struct LivenessCheck {
-    /// Half of the silence after which a machine is declared dead although no call to it went unanswered.
+    /// Half of the time without contact after which a machine is declared dead even if missed probes
+    /// have not confirmed it.
     pub lost_after: Micros,
-    /// The time.
+    /// Current time.
     pub now: Micros,
-    /// Whether it is us whom workers cannot reach ([`isolated`]).
+    /// Whether this controller is unreachable for workers ([`isolated`]).
     pub isolated: bool,
 }
 
 impl WorkerState {
-    /// Records a call that got no answer. `latest_contact_of_any`: when any machine had been in contact
-    /// last before the call was sent. Later contact counts for nothing: when a network partition
-    /// heals, delayed messages of one machine arrive before another's.
+    /// Records a call that received no answer. `latest_contact_of_any` is the time of the latest
+    /// contact with any machine before the call was sent. Later contact does not count: when a network
+    /// partition heals, delayed messages of one machine can arrive before those of another.
     pub fn record_missed_probe(&mut self, latest_contact_of_any: Micros, now: Micros) {
         let probes = &mut self.probes;
         probes.last_failed_at = now;
@@ -47,50 +51,54 @@
         probes.missed_probes += 1;
     }
 
-    /// Whether to declare the machine dead, and have it terminated with all that runs there: two calls
-    /// went unanswered with another machine in contact in between, or the silence is so long that
-    /// there is nothing to wait for, unless it is us who are cut off (`isolated`). One missed call
-    /// proves nothing: when a partition begins each machine misses one before it is known that all do.
+    /// Returns whether to declare the machine dead, so that it is terminated with all its tasks. It is
+    /// dead if two calls went unanswered with another machine in contact in between, or if there was no
+    /// contact for longer than `2 * lost_after` and this controller is not isolated. One missed call is
+    /// not enough: when a partition begins, each machine misses a call before the isolation is
+    /// detected.
     pub fn declared_dead(&self, lost_after: Micros, now: Micros, isolated: bool) -> bool {
         let time_since_contact = self.time_since_contact(now);
         self.probes.confirmed_dead || (time_since_contact > 2 * lost_after && !isolated)
     }
 
-    /// Whether the machine's record should say that it is lost. One that boots has nothing to lose, but
-    /// tasks are placed only on machines that are up: one that has some is up, although its owner
-    /// ended before that was written. Left as booting, its tasks would wait for the lease to expire.
+    /// Returns whether the machine's record should be set to lost. A booting machine is exempt unless
+    /// it has tasks. Tasks are placed only on machines that are up, so a machine with tasks is up even
+    /// if its owner ended before that was recorded. If it stayed booting, its tasks would have to wait
+    /// until the lease expires.
     pub fn lost(&self, state: MachineState, has_tasks: bool, check: LivenessCheck) -> bool {
         (state != MachineState::Booting || has_tasks)
             && self.declared_dead(check.lost_after, check.now, check.isolated)
     }
 
-    /// Whether the worker's lease must have expired: nobody can have renewed it since we did.
+    /// Returns whether the worker's lease must have expired, counted from its last possible renewal. No
+    /// other controller can have renewed it since the worker was fenced.
     pub fn lease_expired(&self, lease: Micros, now: Micros) -> bool {
         let Some(fenced_at) = self.heartbeat.fenced_at.filter(|_| self.fenced()) else {
             return false;
         };
-        // An older owner may have answered until the worker saw our token.
+        // An earlier owner may have renewed the lease until the worker received the current token.
         let last_renewed_at = self.heartbeat.last_answered_at.unwrap_or(0).max(fenced_at);
-        now > last_renewed_at + with_drift(lease) + LEASE_MARGIN
+        now > last_renewed_at + with_clock_drift(lease) + LEASE_EXPIRY_MARGIN
     }
 }
 
-/// Whether heartbeats may still be answered by a controller that knows of every cancellation up to
-/// `cancellation_watermark`. The tasks of any later one must be gone `cancel_within` after it was
-/// confirmed, and live for `lease` after our last answer. There is no exception: that the state
-/// service is unreachable for all now does not mean that it was when somebody last confirmed one.
+/// Returns whether a controller whose view contains every cancellation up to `cancellation_watermark`
+/// may still answer heartbeats. The tasks of any later cancellation must have ended `cancel_within`
+/// after its confirmation, and they live for `lease` after the last answer. There is no exception for
+/// an outage of the state service: even if it is unreachable for all controllers now, another
+/// controller may have confirmed a cancellation shortly before.
 pub fn may_answer(
     lease: Micros,
     cancel_within: Micros,
     cancellation_watermark: Micros,
     now: Micros,
 ) -> bool {
-    now.saturating_sub(cancellation_watermark) + with_drift(lease) + CANCELLATION_MARGIN
+    now.saturating_sub(cancellation_watermark) + with_clock_drift(lease) + CANCELLATION_MARGIN
         < cancel_within
 }
 
-/// When any of these machines was last in contact. One that was only taken over by us does not count:
-/// it has sent nothing under this term, and would hide that it is us who are cut off.
+/// Returns the time of the latest contact with any of these machines. A machine that was taken over and
+/// has sent no message under this term does not count: it would hide the isolation of this controller.
 pub fn latest_contact(machines: &BTreeMap<MachineId, WorkerState>) -> Micros {
     machines
         .values()
@@ -100,29 +108,35 @@
         .unwrap_or(0)
 }
 
-/// Whether it is us whom workers cannot reach, rather than single machines that died: more than one
-/// is silent, and they are the majority of those that are up. An unanswered call counts as silence: a
-/// machine is declared dead some seconds after its last message, which can be sooner than its next
-/// heartbeats are late. Machines that are declared dead before we know that we are isolated would be
-/// terminated with all that runs there.
+/// Returns whether this controller is isolated from the workers, rather than single machines being
+/// dead: at least two machines are out of contact, and they are the majority of those that are up. An
+/// unanswered call also counts as missing contact: a machine is declared dead some seconds after its
+/// last message, which can be earlier than its next heartbeats are overdue. Machines that were declared
+/// dead before the isolation is detected would be terminated with all their tasks.
 pub fn isolated(
     machines: &BTreeMap<MachineId, WorkerState>,
     is_up: &dyn Fn(&MachineId) -> bool,
     heartbeat_interval: Micros,
     now: Micros,
 ) -> bool {
-    let is_silent = |worker: &WorkerState| {
+    let is_out_of_contact = |worker: &WorkerState| {
         worker.probes.last_failed_at > worker.heartbeat.last_contact_at
             || worker.time_since_contact(now) > heartbeat_interval * 3 / 2
     };
-    // Cheap in the usual case: no machine needs to be looked up while fewer than two are silent.
-    if machines.values().filter(|w| is_silent(w)).take(2).count() < 2 {
+    // Avoids the lookup of each machine in the usual case of fewer than two machines out of contact.
+    if machines
+        .values()
+        .filter(|w| is_out_of_contact(w))
+        .take(2)
+        .count()
+        < 2
+    {
         return false;
     }
-    let (mut up, mut silent) = (0, 0);
+    let (mut up_count, mut out_of_contact_count) = (0, 0);
     for (_, worker) in machines.iter().filter(|(id, _)| is_up(id)) {
-        up += 1;
-        silent += u32::from(is_silent(worker));
+        up_count += 1;
+        out_of_contact_count += u32::from(is_out_of_contact(worker));
     }
-    silent >= 2 && silent * 2 > up
+    out_of_contact_count >= 2 && out_of_contact_count * 2 > up_count
 }
--- a/src/workers/probing.rs
+++ b/src/workers/probing.rs
@@ -1,8 +1,8 @@
-//! When machines are called although no command is due: to find dead ones sooner than their late
-//! heartbeats would show.
+//! Probes: calls to machines without due commands, which detect dead machines earlier than overdue
+//! heartbeats do.
 //!
-//! Machines with service replicas are probed between two heartbeats, as often as the processor time set
-//! aside for it allows; all others once a heartbeat is late.
+//! Machines with service replicas are probed between two heartbeats, as often as the processor time
+//! reserved for probes allows. All other machines are probed once a heartbeat is overdue.
 
 use super::registry::WorkerRegistry;
 use super::worker_state::WorkerState;
@@ -13,27 +13,29 @@
 use foldhash::HashSet;
 use std::collections::BTreeMap;
 
-/// Shortest silence after which machines with replicas are probed: little more than a call may take.
+/// Shortest time without contact after which machines with replicas are probed, slightly longer than a
+/// call may take.
 const MIN_PROBE_INTERVAL: Micros = 4 * SECOND / 5;
-/// Calls a second that a whole core may spend on probes: a thirteenth of it, at 0.3 ms each.
+/// Number of probes per second for a whole core. At 0.3 ms each they take a thirteenth of the core.
 const PROBES_PER_CORE_SECOND: f64 = 250.0;
-/// Machines fail in numbers as often as alone: after the first unanswered call all with replicas are
-/// probed at the shortest interval for this long ...
+/// Time after the first unanswered call during which all machines with replicas are probed at the
+/// shortest interval, because several machines fail together as often as one fails alone.
 const FAST_PROBING_DURATION: Micros = 3 * SECOND;
-/// ... and not again for this long after the alarm began.
+/// Time after the start of fast probing during which it does not start again.
 const FAST_PROBING_COOLDOWN: Micros = 10 * SECOND;
 
 impl WorkerRegistry {
-    /// Silence after which machines with replicas are probed now.
+    /// Returns the time without contact after which machines with replicas are probed at present.
     pub(super) fn probe_interval(&self, now: Micros) -> Micros {
-        let usual = self.probe_interval.get();
+        let regular_interval = self.probe_interval.get();
         if now.saturating_sub(self.last_probe_failure.get()) < FAST_PROBING_DURATION {
-            return usual.min(MIN_PROBE_INTERVAL);
+            return regular_interval.min(MIN_PROBE_INTERVAL);
         }
-        usual
+        regular_interval
     }
 
-    /// Raises the alarm when a call to a machine goes unanswered that had answered before.
+    /// Starts fast probing if the unanswered call is the worker's first since its last message, unless
+    /// the cooldown is still running.
     pub(super) fn record_probe_failure(&self, worker: &WorkerState, now: Micros) {
         let last = self.last_probe_failure.get();
         if worker.probes.missed_probes == 0 && now.saturating_sub(last) > FAST_PROBING_COOLDOWN {
@@ -43,8 +45,8 @@
 }
 
 impl Controller {
-    /// Adds machines to `changed` to which nothing happened and that are to be called all the same:
-    /// silent for too long, not fenced yet, or deferred after a call that failed.
+    /// Adds to `changed` the machines that have to be called although nothing changed: those without
+    /// contact for too long, those not fenced yet, and those deferred after a failed call.
     pub fn add_overdue_machines(&self, now: Micros, changed: &mut HashSet<MachineId>) {
         let view = self.watch_cache.view();
         let mut machines = self.workers.machines.borrow_mut();
@@ -66,36 +68,41 @@
         }
     }
 
-    /// Whether a machine has been silent for longer than between two heartbeats.
+    /// Returns whether the time since the last contact exceeds a heartbeat interval plus a tolerance.
     pub(super) fn heartbeat_overdue(&self, time_since_contact: Micros) -> bool {
         time_since_contact > self.settings.heartbeat_interval * 5 / 4 + SECOND / 4
     }
 
-    /// Sets the probe interval by the number of machines with replicas.
+    /// Sets the probe interval from the number of machines with replicas.
     pub(super) fn update_probe_interval(
         &self,
         machines: &BTreeMap<MachineId, WorkerState>,
         view: &ClusterState,
     ) {
-        let count = machines.keys().filter(|id| runs_replicas(view, id)).count();
+        let machine_count = machines.keys().filter(|id| runs_replicas(view, id)).count();
         let settings = &self.settings;
-        let interval = probe_interval_for(count, settings.core_share, settings.heartbeat_interval);
+        let interval = probe_interval_for(
+            machine_count,
+            settings.core_share,
+            settings.heartbeat_interval,
+        );
         self.workers.probe_interval.set(interval);
     }
 }
 
-/// Whether service replicas run on a machine.
+/// Returns whether service replicas run on a machine.
 pub(super) fn runs_replicas(view: &ClusterState, id: &MachineId) -> bool {
     view.usage(id).services > 0
 }
 
-/// Silence after which this many machines with replicas are probed: the probes divide the time between
-/// two heartbeats evenly, as many of them as fit into their part of our processor time. `core_share`:
-/// share of a core that this controller has; 0 if not known, taken for a whole one.
-fn probe_interval_for(machines: usize, core_share: f64, heartbeat_interval: Micros) -> Micros {
+/// Returns the time without contact after which machines with replicas are probed, for this number of
+/// such machines. The probes divide the time between two heartbeats evenly; their number is limited by
+/// the processor time reserved for probes. `core_share` is the share of a core that this controller
+/// has; 0 means unknown and is treated as a whole core.
+fn probe_interval_for(machine_count: usize, core_share: f64, heartbeat_interval: Micros) -> Micros {
     let share = if core_share > 0.0 { core_share } else { 1.0 };
     let probes_per_interval =
-        share * PROBES_PER_CORE_SECOND * to_secs(heartbeat_interval) / machines.max(1) as f64;
+        share * PROBES_PER_CORE_SECOND * to_secs(heartbeat_interval) / machine_count.max(1) as f64;
     (heartbeat_interval / (probes_per_interval as u64 + 1)).max(MIN_PROBE_INTERVAL)
 }
 
--- a/src/workers/probing/tests.rs
+++ b/src/workers/probing/tests.rs
@@ -2,20 +2,22 @@
 
 use super::*;
 
-/// One probe more than divides the time between heartbeats finds nothing sooner; none at all leaves that
-/// to the heartbeats.
+/// Guards against probe intervals that do not divide the heartbeat interval evenly, which cost a probe
+/// without detecting a dead machine earlier. With too many machines for one probe per interval, only
+/// heartbeats remain.
 #[test]
-fn calls_divide_the_time_between_reports() {
-    let every = |machines| probe_interval_for(machines, 0.4, 5 * SECOND);
-    assert_eq!(every(10), MIN_PROBE_INTERVAL);
-    assert_eq!(every(200), 5 * SECOND / 3);
-    assert_eq!(every(400), 5 * SECOND / 2);
-    assert_eq!(every(501), 5 * SECOND);
+fn probes_divide_the_heartbeat_interval_evenly() {
+    let interval_for = |machines| probe_interval_for(machines, 0.4, 5 * SECOND);
+    assert_eq!(interval_for(10), MIN_PROBE_INTERVAL);
+    assert_eq!(interval_for(200), 5 * SECOND / 3);
+    assert_eq!(interval_for(400), 5 * SECOND / 2);
+    assert_eq!(interval_for(501), 5 * SECOND);
 }
 
-/// While one machine after the other goes without an answer, the others are not left to wait.
+/// Guards against slow detection when several machines fail together: after one unanswered call, all
+/// machines with replicas are probed at the shortest interval for a limited time.
 #[test]
-fn after_a_call_without_an_answer_all_are_called_soon() {
+fn unanswered_call_shortens_the_probe_interval() {
     let registry = WorkerRegistry::default();
     registry.probe_interval.set(5 * SECOND / 2);
     let now = 100 * SECOND;
