--- a/src/workers/backoff.rs
+++ b/src/workers/backoff.rs
@@ -1,9 +1,9 @@
-//! Failed tasks: whether their job or their machine is at fault.
+//! Attribution of task failures to the job or to the machine.
 //!
-//! A job whose tasks fail on several machines backs off exponentially; a machine that fails tasks of
-//! jobs which work elsewhere is quarantined. Owns [`BackoffState`], kept in the
-//! [`WorkerRegistry`](super::WorkerRegistry); changed only when a worker's message is applied, and
-//! dropped with its job.
+//! A job whose tasks fail on several machines backs off exponentially. A machine is quarantined if
+//! tasks fail on it whose jobs do not fail elsewhere. Owns [`BackoffState`], which is stored in the
+//! [`WorkerRegistry`](super::WorkerRegistry), changes only when a worker's message is applied, and is
+//! removed together with its job.
 
 use super::heartbeat::HeartbeatOutcome;
 use super::worker_state::WorkerState;
@@ -14,68 +14,71 @@
 use crate::wire::worker::TaskStatus;
 use foldhash::{HashSet, HashSetExt};
 
-/// A job whose tasks fail is tried again after this, doubled with each failure.
-const BACKOFF_BASE: Micros = SECOND / 2;
-/// At most this long between tries: users wait for a job whose image was repaired.
-const BACKOFF_MAX: Micros = 20 * SECOND;
-/// Doublings beyond this many change nothing, and would overflow in the end.
+/// Base of the retry delay of a job whose tasks fail; the delay doubles with each failure.
+const BACKOFF_BASE_DELAY: Micros = SECOND / 2;
+/// Upper limit of the retry delay. It is short because users wait for a job whose image was repaired.
+const BACKOFF_MAX_DELAY: Micros = 20 * SECOND;
+/// Limit on the number of doublings: the delay is at its maximum by then, and the shift must not
+/// overflow.
 const BACKOFF_MAX_DOUBLINGS: u32 = 10;
-/// A task that has run for this long shows that its job can run.
-const PROVEN_RUN_TIME: Micros = 5 * SECOND;
-/// Durations of finished tasks that are kept for each job: enough for a median.
+/// Run time after which a running task shows that its job works.
+const HEALTHY_RUN_TIME: Micros = 5 * SECOND;
+/// Number of durations of finished tasks that are kept for each job, enough for a median.
 const MAX_DURATIONS_PER_JOB: usize = 200;
-/// A machine is quarantined after this many failures of one job that fails nowhere else.
-const QUARANTINE_FAILURES: usize = 3;
-/// Of several jobs this many failures, of jobs that do not fail elsewhere, are enough.
-const QUARANTINE_FAILURES_OF_SEVERAL_JOBS: usize = 2;
+/// Number of task failures after which a machine is quarantined, counting only jobs that do not fail
+/// elsewhere. The failures may all be of one job.
+const QUARANTINE_FAILURE_COUNT: usize = 3;
+/// Lower number that applies if tasks of several jobs failed on the machine.
+const QUARANTINE_FAILURE_COUNT_OF_SEVERAL_JOBS: usize = 2;
 
-/// Failures of a job's tasks.
+/// Failures of a job's tasks and the resulting backoff.
 #[derive(Clone, Debug, Default)]
 pub(super) struct BackoffState {
-    /// Failures since the job failed on more than one machine.
-    count: u32,
-    /// The job is not started before this time.
-    until: Micros,
-    /// Machines on which its tasks failed.
+    /// Number of failures since the job failed on more than one machine.
+    failure_count: u32,
+    /// Time before which the job is not started.
+    backoff_until: Micros,
+    /// Machines on which tasks of the job failed.
     machines: HashSet<MachineId>,
 }
 
 impl BackoffState {
-    /// Whether the job is not to be started now.
+    /// Returns whether the backoff is still running, so that the job must not be started.
     pub(super) fn is_active(&self, now: Micros) -> bool {
-        self.until > now
+        self.backoff_until > now
     }
 
-    /// Whether the job's tasks failed on a machine other than this one.
+    /// Returns whether tasks of the job failed on a machine other than `machine`.
     pub(super) fn failed_elsewhere(&self, machine: &MachineId) -> bool {
         self.machines.iter().any(|other| other != machine)
     }
 
-    /// Records a failure. One bad machine says little about the job: it backs off only once it has
-    /// failed on others too.
+    /// Records a failure. The job backs off only once it has failed on more than one machine, because
+    /// failures on a single machine may be the machine's fault.
     fn record_failure(&mut self, machine: &MachineId, now: Micros) {
         self.machines.insert(machine.clone());
         if self.machines.len() > 1 {
-            self.count += 1;
-            let doubled = BACKOFF_BASE << self.count.min(BACKOFF_MAX_DOUBLINGS);
-            self.until = now + doubled.min(BACKOFF_MAX);
+            self.failure_count += 1;
+            let doubled = BACKOFF_BASE_DELAY << self.failure_count.min(BACKOFF_MAX_DOUBLINGS);
+            self.backoff_until = now + doubled.min(BACKOFF_MAX_DELAY);
         }
     }
 }
 
-/// Whether a machine fails what it starts: failures of two jobs, or of one that has not failed
-/// elsewhere (`failed_elsewhere`, by job).
+/// Returns whether a machine is to be quarantined because tasks fail on it. Only failures of jobs that
+/// have not failed on other machines (`failed_elsewhere`, by job) count; fewer of them are needed if
+/// tasks of two or more jobs failed.
 pub fn quarantined(worker: &WorkerState, failed_elsewhere: &dyn Fn(&str) -> bool) -> bool {
     let errors = &worker.failures.errors;
     let mut jobs: HashSet<&JobId> = HashSet::new();
     jobs.extend(errors.iter().map(|e| &e.job));
-    let own_fault = errors.iter().filter(|e| !failed_elsewhere(&e.job)).count();
-    (jobs.len() >= 2 && own_fault >= QUARANTINE_FAILURES_OF_SEVERAL_JOBS)
-        || own_fault >= QUARANTINE_FAILURES
+    let failures_only_here = errors.iter().filter(|e| !failed_elsewhere(&e.job)).count();
+    (jobs.len() >= 2 && failures_only_here >= QUARANTINE_FAILURE_COUNT_OF_SEVERAL_JOBS)
+        || failures_only_here >= QUARANTINE_FAILURE_COUNT
 }
 
 impl Controller {
-    /// Records the ends of tasks that a message brought: durations for fairness, failures for backoff.
+    /// Records the task exits reported by a message: durations for fairness, failures for backoff.
     pub(super) fn record_task_outcomes(
         &self,
         machine: &MachineId,
@@ -87,16 +90,16 @@
             let mut job_backoffs = self.workers.job_backoffs.borrow_mut();
             for finished in outcome.finished {
                 job_backoffs.remove(&finished.job);
-                let list = durations.entry(finished.job).or_default();
-                if list.len() < MAX_DURATIONS_PER_JOB {
-                    list.push(finished.durations.into());
+                let job_durations = durations.entry(finished.job).or_default();
+                if job_durations.len() < MAX_DURATIONS_PER_JOB {
+                    job_durations.push(finished.durations.into());
                 }
             }
         }
         for job in outcome.failed {
-            // With dozens of faulty machines every job fails on several of them. A job whose tasks
-            // complete, or run on, elsewhere is not at fault: it does not back off, and its failures
-            // count against the machine.
+            // With dozens of faulty machines, every job fails on several of them. A job whose tasks
+            // complete or keep running elsewhere is not at fault: it does not back off, and its
+            // failures count against the machine.
             if self.works_elsewhere(&job, machine, now) {
                 self.workers.job_backoffs.borrow_mut().remove(&job);
                 continue;
@@ -109,20 +112,21 @@
         }
     }
 
-    /// Whether a job's tasks are known to work on some machine other than this one.
+    /// Returns whether a task of the job has completed, or has been running for longer than
+    /// `HEALTHY_RUN_TIME` on a machine other than `machine`.
     fn works_elsewhere(&self, job: &JobId, machine: &MachineId, now: Micros) -> bool {
-        let some_done = || {
+        let has_finished_task = || {
             let view = self.watch_cache.view();
             view.jobs.get(job).is_some_and(|j| j.done > 0)
         };
         self.workers.durations.borrow().contains_key(job)
-            || some_done()
+            || has_finished_task()
             || self.workers.machines.borrow().iter().any(|(id, worker)| {
                 id != machine
                     && worker.tasks.iter().any(|((j, _), observed)| {
                         j == job
                             && observed.status == TaskStatus::Running
-                            && now.saturating_sub(observed.since) > PROVEN_RUN_TIME
+                            && now.saturating_sub(observed.since) > HEALTHY_RUN_TIME
                     })
             })
     }
--- a/src/workers/machine_records.rs
+++ b/src/workers/machine_records.rs
@@ -1,7 +1,7 @@
-//! Writing machine records: what the owner of a machine wants its record in the state service to say.
+//! Writes of machine records to the state service by the owner of the machine.
 //!
-//! Owns no state but the set of machines whose record is being written
-//! (`WorkerRegistry::machines_being_written`): one write about a machine at a time.
+//! Owns only the set of machines whose record is being written
+//! (`WorkerRegistry::machines_being_written`): at most one write for a machine is in flight.
 
 use super::backoff::quarantined;
 use super::inbound_partition::{
@@ -24,38 +24,38 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Pause after a write whose preconditions did not hold: the watch brings what changed.
-const RETRY_AFTER_REFUSAL: Micros = SECOND / 4;
+/// Retry delay after a write whose preconditions did not hold; the watch delivers the change by then.
+const REFUSAL_RETRY_DELAY: Micros = SECOND / 4;
 
-/// What holds for all machines in one round of writes.
+/// Values that are the same for all machines in one round of writes.
 struct WriteRound<'a> {
     view: &'a ClusterState,
     now: Micros,
-    /// It is us whom the workers cannot reach.
+    /// Whether this controller is unreachable for the workers.
     isolated: bool,
-    /// Too many inbound partitions for faults of single machines.
+    /// Whether there are more inbound partitions than faults of single machines can explain.
     many_partitioned: bool,
-    /// Machines that one write declares dead; `None` while a controller of an older version could
-    /// not read such a write: then each is written alone.
+    /// Maximum number of machines that one write declares dead. `None` while a controller of an older
+    /// version could not read such a write; each machine is written separately then.
     max_declared_dead: Option<usize>,
-    /// That a machine is up is written at the latest after this.
-    ready_delay: Micros,
+    /// Maximum delay of the write that a machine is up.
+    max_up_write_delay: Micros,
     budget: WriteBudget,
 }
 
-/// What our share of the state service's write rate allows.
+/// State of this controller's share of the state service's write rate.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum WriteBudget {
     /// More than half of the burst is left.
     Spare,
-    /// Something is left.
+    /// At most half of the burst is left.
     Normal,
-    /// More was used than came.
+    /// Nothing is left, or the budget is overdrawn.
     Exhausted,
 }
 
 impl WriteBudget {
-    fn of((level, burst): (f64, f64)) -> WriteBudget {
+    fn from_level((level, burst): (f64, f64)) -> WriteBudget {
         if level <= 0.0 {
             WriteBudget::Exhausted
         } else if level > burst / 2.0 {
@@ -66,21 +66,21 @@
     }
 }
 
-/// The writes of one round.
+/// Writes of one round.
 #[derive(Default)]
 struct RecordWrites {
-    /// New records.
+    /// Transaction with the new records.
     transaction: Transaction,
-    /// Their machines.
+    /// Machines whose records the transaction contains.
     written: Vec<MachineId>,
     /// Machines to declare dead with one write.
     declared_dead: Vec<MachineId>,
-    /// Machines written as up.
-    ready: usize,
+    /// Number of machines written as up.
+    up_count: usize,
 }
 
 impl RecordWrites {
-    /// Adds a record if it is worth a write now.
+    /// Adds a record, unless its write can be delayed.
     fn add(
         &mut self,
         round: &WriteRound<'_>,
@@ -94,10 +94,10 @@
             return;
         }
         if is_recorded && record.state == MachineState::Up {
-            if !self.ready_is_due(round, worker) {
+            if !self.up_write_is_due(round, worker) {
                 return;
             }
-            self.ready += 1;
+            self.up_count += 1;
         }
         let shard = keys::shard(shard_of(id));
         put_machine(&mut self.transaction, round.view, id, record);
@@ -108,14 +108,16 @@
         self.written.push(id.clone());
     }
 
-    /// Whether to write now that a machine is up. Its owner knows without a write, and tells the peers:
-    /// it can wait until writes are to spare, but not for good. What is recorded as booting does not
-    /// count as capacity, and is taken for a machine that does not come up.
-    fn ready_is_due(&self, round: &WriteRound<'_>, worker: &WorkerState) -> bool {
+    /// Returns whether to write now that a machine is up. Its owner does not need the record and sends
+    /// the state to its peers, so the write can wait until the write budget has room, but not
+    /// indefinitely: a machine recorded as booting does not count as capacity, and is eventually taken
+    /// for one that fails to boot.
+    fn up_write_is_due(&self, round: &WriteRound<'_>, worker: &WorkerState) -> bool {
         let fenced_at = worker.heartbeat.fenced_at;
-        let recent = fenced_at.is_some_and(|at| round.now.saturating_sub(at) < round.ready_delay);
+        let recent =
+            fenced_at.is_some_and(|at| round.now.saturating_sub(at) < round.max_up_write_delay);
         match round.budget {
-            WriteBudget::Exhausted => !recent && self.ready == 0,
+            WriteBudget::Exhausted => !recent && self.up_count == 0,
             WriteBudget::Normal => !recent,
             WriteBudget::Spare => true,
         }
@@ -123,7 +125,8 @@
 }
 
 impl Controller {
-    /// Whether it is us whom the workers cannot reach, rather than single machines that died.
+    /// Returns whether this controller is isolated from the workers, rather than single machines being
+    /// dead.
     pub fn is_isolated(&self, view: &ClusterState, now: Micros) -> bool {
         let is_up = |id: &MachineId| {
             view.machines.get(id).is_some_and(|record| {
@@ -141,7 +144,7 @@
         )
     }
 
-    /// Writes the machine records that differ from what their owner wants them to say.
+    /// Writes the machine records that differ from their desired content.
     pub fn write_machine_records(self: &Rc<Controller>, now: Micros) {
         if !self.watch_cache.current() {
             return;
@@ -174,8 +177,8 @@
                 .limits()
                 .newer_layout
                 .then(|| self.machines_per_request()),
-            ready_delay: ready_delay(&view, &machines),
-            budget: WriteBudget::of(self.watch_cache.client().write_level()),
+            max_up_write_delay: max_up_write_delay(&view, &machines),
+            budget: WriteBudget::from_level(self.watch_cache.client().write_level()),
         };
         let max_mutations = self.state_limits().max_mutations;
         let being_written = self.workers.machines_being_written.borrow();
@@ -195,7 +198,7 @@
         writes
     }
 
-    /// What the record of a machine should say, if that differs from what it says.
+    /// Returns the desired record of a machine if it differs from the current one.
     fn desired_record(
         &self,
         round: &WriteRound<'_>,
@@ -227,8 +230,9 @@
         (desired != *current).then_some(desired)
     }
 
-    /// A record for a machine that has none. Unexpected machines are used: they are paid for. The leader
-    /// finds them in the cloud's list, many with one write; this is for those that the list omits.
+    /// Returns a record for a machine that has none. Unexpected machines are used because they are paid
+    /// for. Usually the leader finds them in the cloud's list and records many with one write; this
+    /// method covers machines that the list omits.
     fn record_of_unlisted_machine(
         &self,
         id: &MachineId,
@@ -236,15 +240,16 @@
         now: Micros,
     ) -> Option<MachineRecord> {
         let description = worker.identity.description.clone()?;
-        // A record that was deleted belonged to a machine that was terminated and is gone, however
-        // recent its last message: written again, it would get tasks that never start.
+        // A deleted record belonged to a machine that was terminated and no longer exists, however
+        // recent its last message is. If it were recorded again, tasks would be placed there and never
+        // start.
         let terminated = self.watch_cache.view().deleted(&keys::machine(id));
         let fenced_at = worker.heartbeat.fenced_at;
-        let known_for_long =
+        let fenced_long_enough =
             fenced_at.is_some_and(|at| now.saturating_sub(at) > MAX_READY_WRITE_DELAY);
         if terminated
             || !worker.fenced()
-            || !known_for_long
+            || !fenced_long_enough
             || worker.time_since_contact(now) > self.settings.heartbeat_interval
         {
             return None;
@@ -260,7 +265,7 @@
         })
     }
 
-    /// Session, address and state as the messages of a fenced worker have them.
+    /// Sets session, address and state from the messages of a fenced worker.
     fn apply_reported_state(
         &self,
         round: &WriteRound<'_>,
@@ -297,7 +302,7 @@
         }
     }
 
-    /// Commits a write about machines of which no other is written meanwhile.
+    /// Commits a write of machine records. No other write for these machines starts until it has ended.
     fn commit_record_writes(self: &Rc<Controller>, transaction: Transaction, ids: Vec<MachineId>) {
         self.workers
             .machines_being_written
@@ -308,7 +313,7 @@
             .spawn(async move {
                 match controller.watch_cache.transaction(&transaction).await {
                     TransactionOutcome::Done(_) => {}
-                    TransactionOutcome::Refused(_) => controller.sleep(RETRY_AFTER_REFUSAL).await,
+                    TransactionOutcome::Refused(_) => controller.sleep(REFUSAL_RETRY_DELAY).await,
                     _ => {
                         controller.watch_cache.linearizable_read().await;
                     }
@@ -324,10 +329,11 @@
     }
 }
 
-/// How long the write that a machine is up may be put off. Longer while messages to the peers tell them;
-/// controllers of an older version, and those who hear only of some machines because the messages are
-/// full, would take the others for machines that do not come up.
-fn ready_delay(view: &ClusterState, machines: &BTreeMap<MachineId, WorkerState>) -> Micros {
+/// Returns the maximum delay of the write that a machine is up. It is longer while messages to the
+/// peers contain all such machines. Controllers of an older version, and controllers that receive only
+/// some of the machines because the messages are full, would take the others for machines that fail to
+/// boot.
+fn max_up_write_delay(view: &ClusterState, machines: &BTreeMap<MachineId, WorkerState>) -> Micros {
     let is_booting = |id: &&MachineId| {
         let record = view.machines.get(*id);
         record.is_some_and(|r| r.state == MachineState::Booting)
--- a/src/workers/registry.rs
+++ b/src/workers/registry.rs
@@ -1,8 +1,8 @@
-//! The workers of the shards that this controller owns, in memory only.
+//! Registry of the workers in the shards that this controller owns, in memory only.
 //!
-//! [`WorkerRegistry`] owns every [`WorkerState`] and what belongs to them. It is changed by the
-//! submodules of `workers` alone; the reconciler and the fairness round read it. Entries follow the
-//! shards: one exists under exactly the term of its machine's shard.
+//! [`WorkerRegistry`] owns every [`WorkerState`] and the state shared between them. Only the submodules
+//! of `workers` change it; the reconciler and the fairness round read it. The entry of a machine exists
+//! only while this controller owns the machine's shard, under the same term as the shard.
 
 use super::backoff::BackoffState;
 use super::worker_state::WorkerState;
@@ -16,82 +16,84 @@
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::BTreeMap;
 
-/// A machine without record and tasks is kept for this long after its last message: one that the
-/// cloud has just started reports before its record is written.
-const UNLISTED_MACHINE_MEMORY: Micros = 60 * SECOND;
-/// An unacknowledged direct start that stands in the way is made impossible by a higher term this long
-/// after the last call failed: most are acknowledged by then.
-const RAISE_TERM_AFTER: Micros = 3 * SECOND;
-/// Redirects are remembered for this long.
-const REDIRECT_MEMORY: Micros = 15 * SECOND;
-/// A worker that was redirected this recently, and more than once, came back in between.
-const REDIRECTED_BACK_WITHIN: Micros = 3 * SECOND;
-/// Redirected workers that one message to a peer names at most.
+/// Time after the last message for which a machine without a record or tasks is kept, because a machine
+/// that the cloud has just started sends heartbeats before its record is written.
+const UNLISTED_MACHINE_RETENTION: Micros = 60 * SECOND;
+/// Time after the last failed call at which the term is raised to make a blocking unacknowledged direct
+/// start impossible. Most starts are acknowledged by then.
+const RAISE_TERM_DELAY: Micros = 3 * SECOND;
+/// Time for which redirects are kept.
+const REDIRECT_RETENTION: Micros = 15 * SECOND;
+/// Maximum age of the last of several redirects at which a worker counts as having come back.
+const REDIRECTED_BACK_WINDOW: Micros = 3 * SECOND;
+/// Maximum number of redirected workers in one message to a peer.
 const MAX_REDIRECTED_BACK: usize = 50;
 
-/// A worker that was redirected to another controller.
-pub(super) struct Redirected {
-    /// Name of that controller.
-    to: String,
-    /// When last.
-    at: Micros,
-    /// How often in a row to the same controller.
-    times: u32,
+/// Redirects of a worker to another controller.
+pub(super) struct Redirects {
+    /// Name of the other controller.
+    target: String,
+    /// Time of the last redirect.
+    last_at: Micros,
+    /// Number of consecutive redirects to the same controller.
+    count: u32,
 }
 
-/// The workers of the machines in our shards.
+/// Workers of the machines in the shards that this controller owns.
 #[derive(Default)]
 pub struct WorkerRegistry {
     pub(super) machines: RefCell<BTreeMap<MachineId, WorkerState>>,
-    /// Machines to look at in the next pass of the reconciler.
+    /// Machines to check in the next pass of the reconciler.
     pub(super) changed: RefCell<HashSet<MachineId>>,
     /// Machines whose record is being written.
     pub(super) machines_being_written: RefCell<HashSet<MachineId>>,
-    /// Jobs whose tasks fail.
+    /// Backoff of jobs whose tasks fail.
     pub(super) job_backoffs: RefCell<HashMap<JobId, BackoffState>>,
     /// Durations of finished tasks, by job: image fetch and run.
     pub(super) durations: RefCell<HashMap<JobId, Vec<[Micros; 2]>>>,
-    /// Redirected workers, by machine.
-    redirected: RefCell<HashMap<String, Redirected>>,
-    /// Usual silence after which machines with service replicas are probed.
+    /// Redirects of workers, by machine.
+    redirected: RefCell<HashMap<String, Redirects>>,
+    /// Regular time without contact after which machines with service replicas are probed.
     pub(super) probe_interval: Cell<Micros>,
-    /// When a call to a machine went unanswered that had answered before.
+    /// Time at which fast probing last started.
     pub(super) last_probe_failure: Cell<Micros>,
-    /// Machines that need commands: looked at each second until they do not.
+    /// Machines that need commands, which are checked every second until they need none.
     pub(super) unsettled: RefCell<HashSet<MachineId>>,
-    /// Number of writes that declared machines dead: each has a name of its own.
+    /// Number of writes that declared machines dead, from which the unique name of each such write is
+    /// formed.
     pub(super) dead_declaration_count: Cell<u64>,
 }
 
 impl WorkerRegistry {
-    /// The machines. Not to be held over an await.
+    /// Returns the workers by machine. The borrow must not be held across an await.
     pub fn machines(&self) -> Ref<'_, BTreeMap<MachineId, WorkerState>> {
         self.machines.borrow()
     }
 
-    /// Durations of finished tasks, by job: image fetch and run.
+    /// Returns the durations of finished tasks, by job: image fetch and run.
     pub fn durations(&self) -> Ref<'_, HashMap<JobId, Vec<[Micros; 2]>>> {
         self.durations.borrow()
     }
 
-    /// Machines that changed since this was asked last.
+    /// Returns the machines that changed since the last call, and clears the set.
     pub fn take_changed(&self) -> HashSet<MachineId> {
         self.changed.take()
     }
 
-    /// Machines that need commands, are not fenced, or have been silent for longer than `quiet`. What
-    /// follows from the others was seen when a message of them, or a write about them, arrived.
-    pub fn unsettled(&self, quiet: Micros, now: Micros) -> HashSet<MachineId> {
+    /// Returns the machines that need commands, are not fenced, or have had no contact for longer than
+    /// `timeout`. All others were checked when their last message, or the last change of their records,
+    /// arrived.
+    pub fn unsettled(&self, timeout: Micros, now: Micros) -> HashSet<MachineId> {
         let mut out = self.unsettled.borrow().clone();
         let machines = self.machines.borrow();
-        let list = machines
+        let needs_check = machines
             .iter()
-            .filter(|(_, worker)| !worker.fenced() || worker.time_since_contact(now) > quiet);
-        out.extend(list.map(|(id, _)| id.clone()));
+            .filter(|(_, worker)| !worker.fenced() || worker.time_since_contact(now) > timeout);
+        out.extend(needs_check.map(|(id, _)| id.clone()));
         out
     }
 
-    /// Whether a job's tasks failed so recently that it is not started now.
+    /// Returns whether a job must not be started now because of its backoff.
     pub fn in_backoff(&self, job: &str, now: Micros) -> bool {
         let job_backoffs = self.job_backoffs.borrow();
         job_backoffs
@@ -99,43 +101,48 @@
             .is_some_and(|state| state.is_active(now))
     }
 
-    /// Machines whose workers come back to us although we redirected them to this controller.
+    /// Returns the machines whose workers returned to this controller after redirects to the controller
+    /// `from`.
     pub fn redirected_back(&self, from: &str, now: Micros) -> Vec<String> {
         let redirected = self.redirected.borrow();
-        let came_back = |r: &Redirected| {
-            r.to == from && r.times >= 2 && now.saturating_sub(r.at) < REDIRECTED_BACK_WITHIN
+        let came_back = |redirects: &Redirects| {
+            redirects.target == from
+                && redirects.count >= 2
+                && now.saturating_sub(redirects.last_at) < REDIRECTED_BACK_WINDOW
         };
         redirected
             .iter()
-            .filter(|(_, r)| came_back(r))
+            .filter(|(_, redirects)| came_back(redirects))
             .map(|(machine, _)| machine.clone())
             .take(MAX_REDIRECTED_BACK)
             .collect()
     }
 
     /// Records that a worker was redirected to another controller.
-    pub(super) fn record_redirect(&self, machine: &str, to: &str, now: Micros) {
+    pub(super) fn record_redirect(&self, machine: &str, target: &str, now: Micros) {
         let mut redirected = self.redirected.borrow_mut();
-        redirected.retain(|_, r| now.saturating_sub(r.at) < REDIRECT_MEMORY);
-        let entry = redirected.entry(machine.to_string()).or_insert(Redirected {
-            to: to.to_string(),
-            at: now,
-            times: 0,
+        redirected
+            .retain(|_, redirects| now.saturating_sub(redirects.last_at) < REDIRECT_RETENTION);
+        let entry = redirected.entry(machine.to_string()).or_insert(Redirects {
+            target: target.to_string(),
+            last_at: now,
+            count: 0,
         });
-        if entry.to != to {
-            entry.to = to.to_string();
-            entry.times = 0;
+        if entry.target != target {
+            entry.target = target.to_string();
+            entry.count = 0;
         }
-        entry.at = now;
-        entry.times += 1;
+        entry.last_at = now;
+        entry.count += 1;
     }
 }
 
 impl Controller {
-    /// Keeps an entry for every machine of our shards, under the current term (`terms`, by shard).
+    /// Updates the registry so that it has an entry for every machine of the owned shards under the
+    /// current term (`terms`, by shard), and no others.
     pub fn adopt_machines(&self, view: &ClusterState, terms: &[Option<u64>], now: Micros) {
         let mut machines = self.workers.machines.borrow_mut();
-        self.drop_foreign_machines(&mut machines, view, terms, now);
+        self.remove_unowned_machines(&mut machines, view, terms, now);
         self.add_missing_machines(&mut machines, view, terms, now);
         self.update_probe_interval(&machines, view);
         self.raise_terms_of_blocked_machines(&machines, now);
@@ -145,8 +152,9 @@
         durations.retain(|job, _| view.jobs.contains_key(job));
     }
 
-    /// Drops machines of shards that we do not own under the same term any more, and those that are gone.
-    fn drop_foreign_machines(
+    /// Removes machines of shards that this controller no longer owns under the same term, and machines
+    /// that no longer exist.
+    fn remove_unowned_machines(
         &self,
         machines: &mut BTreeMap<MachineId, WorkerState>,
         view: &ClusterState,
@@ -157,7 +165,7 @@
             let keep = terms[shard_of(id) as usize] == Some(worker.term)
                 && (view.machines.contains_key(id)
                     || view.tasks_on(id).is_some()
-                    || worker.time_since_contact(now) < UNLISTED_MACHINE_MEMORY);
+                    || worker.time_since_contact(now) < UNLISTED_MACHINE_RETENTION);
             if let Some(address) = worker.identity.address.filter(|_| !keep) {
                 self.http.forget(address);
             }
@@ -165,7 +173,7 @@
         });
     }
 
-    /// Adds the machines of our shards that have a record or tasks.
+    /// Adds the machines of the owned shards that have a record or tasks.
     fn add_missing_machines(
         &self,
         machines: &mut BTreeMap<MachineId, WorkerState>,
@@ -190,8 +198,8 @@
         }
     }
 
-    /// Asks for a higher term of the shards of machines that are in contact while an unacknowledged
-    /// start blocks an attempt: only a higher term makes such a start impossible.
+    /// Requests a higher term for the shards of machines that are in contact while an unacknowledged
+    /// start blocks an attempt, because only a higher term makes such a start impossible.
     fn raise_terms_of_blocked_machines(
         &self,
         machines: &BTreeMap<MachineId, WorkerState>,
@@ -200,7 +208,7 @@
         let blocked = machines.iter().filter(|(_, worker)| {
             worker.blocked_by_unacknowledged_start()
                 && worker.time_since_contact(now) < self.settings.heartbeat_interval * 2
-                && now.saturating_sub(worker.probes.last_failed_at) > RAISE_TERM_AFTER
+                && now.saturating_sub(worker.probes.last_failed_at) > RAISE_TERM_DELAY
         });
         self.membership
             .raise_terms(blocked.map(|(id, _)| shard_of(id)));
