--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the pure decisions of `workers`: what heartbeats and silence prove, and which commands follow.
+//! Tests of the pure decisions of `workers`: conclusions from heartbeats and missing contact, and the
+//! resulting commands.
 
 use super::*;
 use crate::autoscaler::model::MachineState;
@@ -75,7 +76,7 @@
     }
 }
 
-fn concluded(cluster: &ClusterState, worker: &WorkerState, now: Micros) -> usize {
+fn ended_attempts(cluster: &ClusterState, worker: &WorkerState, now: Micros) -> usize {
     let mut out = Vec::new();
     reconcile(cluster, &"m".into(), worker, 18 * SECOND, now, &mut out);
     out.len()
@@ -94,9 +95,10 @@
     cluster.put(&keys::machine("m"), &to_value(&record), 3);
 }
 
-/// A direct start that was not acknowledged may run after a `Forget`: none until it is acknowledged.
+/// Guards against a `Forget` that is sent before a direct start is acknowledged: the start could be
+/// executed after the `Forget` and run the attempt again.
 #[test]
-fn nothing_is_cleared_while_a_start_may_still_come() {
+fn no_forget_while_a_direct_start_is_unacknowledged() {
     let id: MachineId = "m".into();
     let cluster = view(placed(1), false);
     let mut worker = WorkerState::new(5, 0);
@@ -113,54 +115,65 @@
     assert!(commands(&over, &id, &mut worker, CommandChannel::HeartbeatAnswer).is_empty());
     assert!(
         worker.blocked_by_unacknowledged_start(),
-        "only a higher term helps"
+        "only a higher term makes the start impossible"
     );
     worker.acknowledge_direct(&direct);
     assert!(matches!(
         commands(&over, &id, &mut worker, CommandChannel::HeartbeatAnswer).as_slice(),
         [Command::Forget { .. }]
     ));
-    // And never directly: it could overtake a start in the answer to a heartbeat.
+    // `Forget` is never sent directly, because it could overtake a start in the answer to a heartbeat.
     assert!(commands(&over, &id, &mut worker, CommandChannel::Direct).is_empty());
 }
 
-/// A start in the answer to a heartbeat is executed before the next heartbeat or never; the reply to a
-/// direct call in between proves nothing, and neither does a heartbeat with another token.
+/// Guards against an attempt that is recorded as ended while a start of it may still be executed. A
+/// start in the answer to a heartbeat is executed before the next heartbeat or never. Neither the reply
+/// to a direct call in between nor a heartbeat with another token shows that the start is no longer
+/// pending.
 #[test]
-fn absence_is_proved_by_the_next_report_alone() {
+fn only_the_next_periodic_heartbeat_proves_absence() {
     let id: MachineId = "m".into();
     let mut cluster = view(placed(1), false);
     put_machine_record(&mut cluster);
     let mut worker = WorkerState::new(5, 0);
     worker.apply_heartbeat(&heartbeat(1, 4, None), HeartbeatSource::Periodic, 1);
-    let mut gone = view(placed(1), true);
-    put_machine_record(&mut gone);
+    let mut cancelled = view(placed(1), true);
+    put_machine_record(&mut cancelled);
     assert_eq!(
-        concluded(&gone, &worker, 2),
+        ended_attempts(&cancelled, &worker, 2),
         0,
-        "an older owner may still act"
+        "an earlier owner may still send commands"
     );
     worker.apply_heartbeat(&heartbeat(2, 5, None), HeartbeatSource::Periodic, 2);
     assert_eq!(
         commands(&cluster, &id, &mut worker, CommandChannel::HeartbeatAnswer).len(),
         1
     );
-    assert_eq!(concluded(&gone, &worker, 3), 0, "the answer is on its way");
+    assert_eq!(
+        ended_attempts(&cancelled, &worker, 3),
+        0,
+        "the answer with the start is in transit"
+    );
     worker.apply_heartbeat(&heartbeat(3, 5, None), HeartbeatSource::CommandReply, 3);
-    assert_eq!(concluded(&gone, &worker, 4), 0, "still on its way");
+    assert_eq!(
+        ended_attempts(&cancelled, &worker, 4),
+        0,
+        "the answer may still be in transit"
+    );
     worker.apply_heartbeat(&heartbeat(4, 5, None), HeartbeatSource::Periodic, 4);
-    assert_eq!(concluded(&gone, &worker, 5), 1);
+    assert_eq!(ended_attempts(&cancelled, &worker, 5), 1);
     assert_eq!(
-        concluded(&cluster, &worker, 5),
+        ended_attempts(&cluster, &worker, 5),
         0,
-        "what should run is started again"
+        "an attempt that is to run is started again instead"
     );
 }
 
-/// A machine is dead if it misses a call sent after another was in contact; calls of an isolated controller
-/// all go unanswered, and it must not declare any machine dead.
+/// Guards against an isolated controller that declares machines dead because all its calls go
+/// unanswered. A machine is dead only if it misses a call that was sent after contact with another
+/// machine.
 #[test]
-fn a_cut_is_not_a_dead_machine() {
+fn isolated_controller_declares_no_machine_dead() {
     let mut worker = WorkerState::new(5, 0);
     worker.apply_heartbeat(&heartbeat(1, 5, None), HeartbeatSource::Periodic, SECOND);
     for second in 2..9 {
@@ -168,13 +181,13 @@
     }
     assert!(
         !worker.probes.confirmed_dead,
-        "nobody else was heard either"
+        "no other machine was in contact either"
     );
     assert!(!worker.declared_dead(5 * SECOND, 10 * SECOND, false));
     assert!(!worker.declared_dead(5 * SECOND, 30 * SECOND, true));
     assert!(
         worker.declared_dead(5 * SECOND, 30 * SECOND, false),
-        "not for ever"
+        "the wait is limited unless the controller is isolated"
     );
     worker.record_missed_probe(2 * SECOND + 1, 9 * SECOND);
     assert!(worker.declared_dead(5 * SECOND, 9 * SECOND, true));
@@ -185,13 +198,17 @@
     );
     assert!(!worker.probes.confirmed_dead);
     worker.record_missed_probe(10 * SECOND, 11 * SECOND);
-    assert!(!worker.probes.confirmed_dead, "one miss is not enough");
+    assert!(
+        !worker.probes.confirmed_dead,
+        "one missed call is not enough"
+    );
 }
 
-/// A machine whose owner ended before it wrote that the machine is up: partitioned as well, it shows the new
-/// owner no token and has no address in its record, so nobody can call it.
+/// Guards against tasks that wait on a dead machine whose record says booting. This happens if its
+/// owner ended before recording the machine as up and the machine is partitioned too: the new owner
+/// receives no token from it and cannot call it, because its record has no address.
 #[test]
-fn a_machine_with_tasks_is_given_up_although_its_key_says_that_it_boots() {
+fn booting_machine_with_tasks_is_declared_lost() {
     let worker = WorkerState::new(5, 100 * SECOND);
     let lost = |state, has_tasks, now| {
         let check = LivenessCheck {
@@ -204,17 +221,18 @@
     let late = 111 * SECOND;
     assert!(
         !lost(MachineState::Booting, false, late),
-        "it may come up yet"
+        "it may still finish booting"
     );
     assert!(!lost(MachineState::Booting, true, 105 * SECOND));
     assert!(lost(MachineState::Booting, true, late));
     assert!(lost(MachineState::Up, false, late));
 }
 
-/// Two controllers that were refused by the state service, and a third that took a shard of one of them:
-/// its worker has to come to the third, and not be redirected to the one that drove it before.
+/// Guards against redirecting a worker back to an earlier owner of its shard. This can happen if the
+/// state service refuses two controllers, so that their views are outdated, while a third takes over a
+/// shard of one of them. The worker has to reach the third.
 #[test]
-fn a_worker_that_shows_a_newer_token_is_sent_to_nobody_older() {
+fn newer_token_prevents_redirect_to_earlier_owner() {
     use crate::membership::{Member, Shard};
     let mut cluster = ClusterState::default();
     let member = Member::new_incarnation(None, 7, 2, 0);
@@ -234,27 +252,31 @@
     assert_eq!(
         redirect_target(&cluster, "c", 3, 4),
         None,
-        "its lease ended"
+        "the owner's lease has expired"
     );
 }
 
-/// Machines that were only taken over do not count as in contact.
+/// Guards against machines that count as in contact although they were only taken over and sent no
+/// message: the isolation of the controller would go undetected.
 #[test]
-fn a_machine_taken_over_has_said_nothing() {
-    let mut all: BTreeMap<MachineId, WorkerState> = BTreeMap::new();
-    all.insert("a".into(), WorkerState::new(5, 10 * SECOND));
-    all.insert("b".into(), WorkerState::new(5, 11 * SECOND));
-    let call = |all: &mut BTreeMap<MachineId, WorkerState>, now| {
-        let others = latest_contact(all);
-        if let Some(worker) = all.get_mut("a") {
-            worker.record_missed_probe(others, now);
+fn machine_without_messages_is_not_in_contact() {
+    let mut machines: BTreeMap<MachineId, WorkerState> = BTreeMap::new();
+    machines.insert("a".into(), WorkerState::new(5, 10 * SECOND));
+    machines.insert("b".into(), WorkerState::new(5, 11 * SECOND));
+    let miss_call = |machines: &mut BTreeMap<MachineId, WorkerState>, now| {
+        let latest_contact_of_any = latest_contact(machines);
+        if let Some(worker) = machines.get_mut("a") {
+            worker.record_missed_probe(latest_contact_of_any, now);
         }
-        all["a"].declared_dead(5 * SECOND, now, false)
+        machines["a"].declared_dead(5 * SECOND, now, false)
     };
-    assert!(!call(&mut all, 11 * SECOND));
-    all.insert("c".into(), WorkerState::new(5, 12 * SECOND));
-    assert!(!call(&mut all, 13 * SECOND), "c was taken over, not heard");
-    if let Some(worker) = all.get_mut("b") {
+    assert!(!miss_call(&mut machines, 11 * SECOND));
+    machines.insert("c".into(), WorkerState::new(5, 12 * SECOND));
+    assert!(
+        !miss_call(&mut machines, 13 * SECOND),
+        "c was taken over but sent no message"
+    );
+    if let Some(worker) = machines.get_mut("b") {
         worker.apply_heartbeat(
             &heartbeat(1, 5, None),
             HeartbeatSource::Periodic,
@@ -262,45 +284,50 @@
         );
     }
     assert!(
-        call(&mut all, 14 * SECOND),
-        "b was heard, and a missed again"
+        miss_call(&mut machines, 14 * SECOND),
+        "b sent a message, and a missed another call"
     );
 }
 
-/// A controller that loses its workers knows that it is isolated before it declares the first of them dead,
-/// also where heartbeats are as far apart as the time after which a machine is declared dead.
+/// Guards against an isolated controller that declares machines dead before it detects its isolation.
+/// This can happen if the heartbeat interval is as long as the time after which a machine is declared
+/// dead.
 #[test]
-fn a_controller_that_is_cut_off_knows_before_it_gives_machines_up() {
+fn isolation_is_detected_before_machines_are_declared_dead() {
     const HEARTBEAT_INTERVAL: Micros = 5 * SECOND;
     const LOST_AFTER: Micros = 5 * SECOND;
-    let cut = 100 * SECOND;
-    let fleet = |gone: usize, now: Micros| -> BTreeMap<MachineId, WorkerState> {
+    let partitioned_at = 100 * SECOND;
+    let fleet = |unreachable: usize, now: Micros| -> BTreeMap<MachineId, WorkerState> {
         (0..100)
             .map(|number| {
                 let mut worker = WorkerState::new(5, 0);
-                // Half have replicas and are probed often; others are in contact when they send a heartbeat.
-                let last = cut
+                // Half of the machines have replicas and are probed often; the others are in contact
+                // only when they send a heartbeat.
+                let last_contact_at = partitioned_at
                     - if number % 2 == 0 {
                         0
                     } else {
                         HEARTBEAT_INTERVAL * number / 100
                     };
-                worker.heartbeat.last_contact_at =
-                    if (number as usize) < gone { last } else { now };
-                let called = worker.heartbeat.last_contact_at
+                worker.heartbeat.last_contact_at = if (number as usize) < unreachable {
+                    last_contact_at
+                } else {
+                    now
+                };
+                let call_failed_at = worker.heartbeat.last_contact_at
                     + if number % 2 == 0 {
                         SECOND
                     } else {
                         HEARTBEAT_INTERVAL * 5 / 4
                     };
-                if (number as usize) < gone && called < now {
-                    worker.probes.last_failed_at = called;
+                if (number as usize) < unreachable && call_failed_at < now {
+                    worker.probes.last_failed_at = call_failed_at;
                 }
                 (format!("m-{number:03}").into(), worker)
             })
             .collect()
     };
-    let now = cut + LOST_AFTER;
+    let now = partitioned_at + LOST_AFTER;
     assert!(isolated(
         &fleet(100, now),
         &|_| true,
@@ -321,9 +348,10 @@
     ));
 }
 
-/// Silence proves nothing before the lease must be over, and only under our token.
+/// Guards against an attempt that is recorded as ended only because its worker is out of contact. The
+/// lease must have expired, and the worker must be fenced by the owner's token.
 #[test]
-fn silence_alone_proves_nothing() {
+fn missing_contact_ends_attempts_only_after_lease_expiry() {
     let mut cluster = view(placed(1), false);
     put_machine_record(&mut cluster);
     let mut worker = WorkerState::new(5, 0);
@@ -332,16 +360,16 @@
         HeartbeatSource::Periodic,
         1,
     );
-    assert_eq!(concluded(&cluster, &worker, 900 * SECOND), 0);
+    assert_eq!(ended_attempts(&cluster, &worker, 900 * SECOND), 0);
     worker.apply_heartbeat(
         &heartbeat(2, 5, Some(TaskStatus::Running)),
         HeartbeatSource::Periodic,
         2 * SECOND,
     );
     worker.heartbeat.last_answered_at = Some(3 * SECOND);
-    assert_eq!(concluded(&cluster, &worker, 21 * SECOND), 0);
-    assert_eq!(concluded(&cluster, &worker, 23 * SECOND), 1);
-    // A late heartbeat changes nothing that a newer one said.
+    assert_eq!(ended_attempts(&cluster, &worker, 21 * SECOND), 0);
+    assert_eq!(ended_attempts(&cluster, &worker, 23 * SECOND), 1);
+    // A late heartbeat does not overwrite the state from a newer one.
     worker.apply_heartbeat(
         &heartbeat(1, 4, None),
         HeartbeatSource::Periodic,
