--- a/src/autoscaler/decision.rs
+++ b/src/autoscaler/decision.rs
@@ -1,5 +1,5 @@
-//! What the autoscaler decides on, and what it decides. Plain values: the reconciler fills the input
-//! from the cluster state and carries the decision out.
+//! Input and output of a scaling decision. Both are plain values: the reconciler builds the input from
+//! the cluster state and executes the decision.
 
 use super::model::{MachineRecord, MachineState, ScaleOutRequest};
 use crate::ids::MachineId;
@@ -11,14 +11,14 @@
 use crate::wire::cloud::MachineType;
 use foldhash::HashMap;
 
-/// The cloud charges at least this long for a machine, so terminating it earlier saves nothing.
-pub(super) const MINIMUM_CHARGE: Micros = 60 * SECOND;
+/// Shortest time for which the cloud charges for a machine. Terminating it earlier saves nothing.
+pub(super) const MINIMUM_CHARGE_DURATION: Micros = 60 * SECOND;
 
-/// Input of one decision of the leader.
+/// Input of one scaling decision of the leader.
 pub struct CapacityForecast<'a> {
-    /// Cluster state as last seen.
+    /// Latest known cluster state.
     pub view: &'a ClusterState,
-    /// Schedule over all machines, those still booting included.
+    /// Schedule computed over all machines, including those that are still booting.
     pub schedule: &'a Schedule,
     /// Tunable parameters.
     pub policy: &'a Policy,
@@ -28,39 +28,39 @@
     pub teams: &'a [Team],
     /// Wall-clock time, microseconds since the epoch.
     pub wall_clock: Micros,
-    /// Whether the cloud recently had no capacity for a machine type (first argument) in a zone
-    /// (second), as spot machines (third).
+    /// Returns whether the cloud recently refused to provision a machine type (first argument) in a zone
+    /// (second argument), as spot machines if the third argument is true.
     pub refused: &'a dyn Fn(&str, &str, bool) -> bool,
     /// Wall-clock time since which each idle machine has been idle.
     pub idle_since: &'a HashMap<MachineId, Micros>,
-    /// Machines that one stored scale-out request can name.
+    /// Maximum number of machines that one stored scale-out request can name.
     pub machines_per_request: usize,
-    /// Whether a machine is known to be ready although its record still says that it boots.
+    /// Returns whether a machine is known to be ready although its record is still in state `Booting`.
     pub known_up: &'a dyn Fn(&MachineId) -> bool,
 }
 
 impl<'a> CapacityForecast<'a> {
-    /// Time since a machine was provisioned.
+    /// Returns the time since a machine was provisioned.
     pub(super) fn age(&self, record: &MachineRecord) -> Micros {
         self.wall_clock.saturating_sub(record.rented_at)
     }
 
-    /// CPUs that services take on a machine, in thousandths.
+    /// Returns the CPUs that services use on a machine, in thousandths of a CPU.
     pub(super) fn service_cpus(&self, id: &MachineId) -> i64 {
         self.view.usage(id).service_cpus
     }
 
-    /// Whether any task is placed on a machine.
+    /// Returns whether any task is placed on a machine.
     pub(super) fn has_tasks(&self, id: &MachineId) -> bool {
         self.view.tasks_on(id).is_some()
     }
 
-    /// Type of a machine, while the cloud offers it.
+    /// Returns the type of a machine, or `None` if the cloud no longer offers it.
     pub(super) fn machine_type(&self, record: &MachineRecord) -> Option<&'a MachineType> {
         self.view.machine_types.get(&record.machine_type)
     }
 
-    /// Machines in one state, in the order of their ids.
+    /// Returns the machines in a state, ordered by id.
     pub(super) fn machines_in(
         &self,
         state: MachineState,
@@ -72,15 +72,15 @@
     }
 }
 
-/// What the leader should do now.
+/// Actions that the leader should take now.
 #[derive(Debug, Default, PartialEq)]
 pub struct ScalingDecision {
     /// Scale-out requests to write and send.
     pub scale_out: Vec<ScaleOutRequest>,
     /// Machines to terminate.
     pub scale_in: Vec<MachineId>,
-    /// Machines to cordon: nothing new starts there, and they are terminated once empty.
+    /// Machines to cordon: no new task is placed on them, and they are terminated once empty.
     pub cordon: Vec<MachineId>,
-    /// Cordoned machines to use again.
+    /// Cordoned machines to return to service.
     pub uncordon: Vec<MachineId>,
 }
--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -1,6 +1,6 @@
-//! Demand: what the jobs need beyond the machines at hand. Services, gangs and arrays of high priority
-//! lack whole machines at once (`Shortfall`); batch work that can wait flows through a pool of machine
-//! types (`MachinePool`). Pure.
+//! Demand: the capacity that jobs need beyond the existing machines. Services, and gangs and arrays of
+//! high priority, need machines immediately (`Shortfall`). Batch work that can wait is processed over time
+//! by the machines of a pool (`MachinePool`). All functions are pure.
 
 use super::decision::CapacityForecast;
 use super::machine_pool::{BacklogWork, MachinePool, QuotaLimit};
@@ -15,85 +15,86 @@
 use foldhash::{HashMap, HashMapExt};
 use std::collections::BTreeMap;
 
-/// A job bound to a zone asks for at least this part of a machine there, even where its work would
-/// fill less: work elsewhere in its pool never helps it.
-const ZONE_BOUND_MINIMUM: f64 = 0.2;
-/// Work that has waited for so long may also use machines that are cordoned.
-const OVERDUE: Micros = 45 * SECOND;
+/// Smallest demand of a job bound to a zone, as a share of one machine. It applies even where the job's
+/// work would fill less, since capacity of its pool in other zones is of no use to the job.
+const ZONE_BOUND_MINIMUM_MACHINE_SHARE: f64 = 0.2;
+/// Waiting time after which cordoned machines are returned to service for a job's tasks.
+const OVERDUE_WAIT_TIME: Micros = 45 * SECOND;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Tasks of one kind without a machine, and what would hold them.
+/// Unplaced tasks with equal requirements, and the machines that can run them.
 pub(super) struct Shortfall<'a> {
-    /// Machine types that can take them.
+    /// Machine types that can run the tasks.
     pub(super) types: Vec<&'a MachineType>,
-    /// Zones in which a machine helps; any if `None`.
+    /// Zones in which a new machine can run the tasks; any zone if `None`.
     pub(super) zones: Option<Vec<&'a str>>,
-    /// Whether spot machines will do.
+    /// Whether spot machines are allowed.
     pub(super) spot: bool,
     /// Resources of one task.
     pub(super) resources: Resources,
-    /// Tasks without a machine.
+    /// Number of unplaced tasks.
     pub(super) tasks: u32,
-    /// Machines to provision; fractions of several shortfalls add up.
+    /// Machines to provision. Fractional values of several shortfalls are added up.
     pub(super) machines: f64,
 }
 
 impl Shortfall<'_> {
-    /// Whether a machine in this zone helps.
-    pub(super) fn helps_in(&self, zone: &str) -> bool {
+    /// Returns whether a new machine in this zone can run the tasks.
+    pub(super) fn allows_zone(&self, zone: &str) -> bool {
         self.zones
             .as_ref()
             .is_none_or(|zones| zones.contains(&zone))
     }
 }
 
-/// The demand of all jobs.
+/// Demand of all jobs.
 pub(super) struct Demand<'a> {
-    /// What is lacking at once, in the order of jobs.
+    /// Capacity needed immediately, in job order.
     pub(super) shortfalls: Vec<Shortfall<'a>>,
-    /// Batch work, by the names of the machine types that can take it.
+    /// Batch work, by the names of the machine types that can run it.
     pub(super) pools: BTreeMap<Vec<&'a str>, MachinePool<'a>>,
 }
 
-/// One job's part in the demand.
+/// Demand of one job.
 struct JobDemand<'a> {
     job: &'a Job,
     spec: &'a JobSpec,
     types: Vec<&'a MachineType>,
-    /// Tasks of it that fill a machine of the largest type.
+    /// Number of its tasks that fit on a machine of the largest type.
     tasks_per_machine: f64,
-    /// Tasks for which the forecast found no machine.
+    /// Number of tasks for which the forecast schedule has no machine.
     unplaced: u32,
-    /// Tasks that wait, those of pipeline steps that may start soon included.
+    /// Number of queued tasks, including those of pipeline steps that may start soon.
     queued: u32,
-    /// Of these, tasks that the team's quota lets start.
+    /// Number of queued tasks that the team's quota allows to start.
     within_quota: u32,
 }
 
 impl<'a> JobDemand<'a> {
-    /// Machines for the tasks without one.
+    /// Returns the number of machines that the unplaced tasks fill.
     fn unplaced_machines(&self) -> f64 {
         f64::from(self.unplaced) / self.tasks_per_machine
     }
 
-    /// Machines for the tasks that wait.
+    /// Returns the number of machines that the queued tasks within the quota fill.
     fn waiting_machines(&self) -> f64 {
         f64::from(self.within_quota) / self.tasks_per_machine
     }
 
-    /// Machine seconds left: running tasks are half done on average.
+    /// Returns the remaining work in machine seconds, assuming that running tasks are half done on average.
     fn work_s(&self) -> f64 {
         let run_time_s = self.spec.estimated_run_time.max(SECOND) as f64 / MICROS_PER_SECOND;
         let tasks = f64::from(self.queued) + f64::from(self.job.placed) / 2.0;
         tasks * run_time_s / self.tasks_per_machine
     }
 
-    /// The zones in which a machine helps the job now, if not all do: its only one, the one where the
-    /// rest of it runs, or those where it may have more tasks.
+    /// Returns the zones in which the job can use a new machine now, or `None` if it can in all zones.
+    /// The zones are limited by a fixed zone, by the zone of its placed tasks if the job must stay in a
+    /// single zone, or by the limit of tasks per zone if its tasks are spread.
     fn zones(&self, view: &'a ClusterState) -> Option<Vec<&'a str>> {
         let spec = self.spec;
-        let tied_to_placed = spec.single_zone && self.job.placed > 0;
-        if spec.zone.is_none() && !spec.zone_spread && !tied_to_placed {
+        let bound_to_placed_tasks = spec.single_zone && self.job.placed > 0;
+        if spec.zone.is_none() && !spec.zone_spread && !bound_to_placed_tasks {
             return None;
         }
         let mut zones: Vec<&str> = self
@@ -104,9 +105,9 @@
             .collect();
         zones.sort_unstable();
         zones.dedup();
-        let all = zones.len();
+        let zone_count = zones.len();
         scheduling::retain_open_zones(view, self.job, &mut zones);
-        (zones.len() < all).then_some(zones)
+        (zones.len() < zone_count).then_some(zones)
     }
 
     fn shortfall(
@@ -127,7 +128,7 @@
     }
 }
 
-/// Adds up the demand of all jobs.
+/// Computes the demand of all jobs.
 pub(super) fn collect<'a>(forecast: &CapacityForecast<'a>) -> Demand<'a> {
     let view = forecast.view;
     let unplaced: HashMap<&str, u32> = forecast
@@ -164,7 +165,8 @@
     demand
 }
 
-/// What each team's services use of its quota, or wait for: it is not there for the team's batch work.
+/// Returns the resources that each team's services use or wait for. This part of the team's quota is not
+/// available to its batch work.
 fn resources_of_services(view: &ClusterState) -> HashMap<&str, Resources> {
     let mut by_team: HashMap<&str, Resources> = HashMap::new();
     for job in view.jobs.values() {
@@ -179,7 +181,7 @@
     by_team
 }
 
-/// A job's part in the demand; `None` if it has none, or if no machine type can take it.
+/// Returns the demand of a job, or `None` if it has none or no machine type can run its tasks.
 fn job_demand<'a>(
     forecast: &CapacityForecast<'a>,
     id: &JobId,
@@ -188,7 +190,7 @@
 ) -> Option<JobDemand<'a>> {
     let view = forecast.view;
     let spec: &JobSpec = &job.spec;
-    // The next steps of a pipeline count once those before them are about to end.
+    // The next steps of a pipeline count as soon as the preceding steps are about to end.
     let queued = view.queued_or_blocked(job);
     let within_quota = queued.saturating_sub(forecast.schedule.limited(id));
     let placed_service = spec.kind == JobKind::Service && unplaced == 0;
@@ -211,7 +213,7 @@
     })
 }
 
-/// Machine types on which a job's tasks fit and may run.
+/// Returns the machine types on which a job's tasks fit and are allowed to run.
 fn candidate_types<'a>(view: &'a ClusterState, spec: &JobSpec) -> Vec<&'a MachineType> {
     let mut types: Vec<&MachineType> = view
         .machine_types
@@ -223,7 +225,7 @@
                 && Resources::of_machine(machine_type).fits(&spec.resources)
         })
         .collect();
-    // Machines with GPUs cost several times as much: not for tasks that can do without.
+    // Machines with GPUs cost several times as much, so tasks without GPUs use other types if there are any.
     if spec.resources.gpus == 0 && types.iter().any(|machine_type| machine_type.gpus == 0.0) {
         types.retain(|machine_type| machine_type.gpus == 0.0);
     }
@@ -231,7 +233,7 @@
 }
 
 impl<'a> Demand<'a> {
-    /// The pool of the machine types that can take a job.
+    /// Returns the pool of the machine types that can run a job, and creates it if necessary.
     fn pool(&mut self, job: &JobDemand<'a>) -> &mut MachinePool<'a> {
         let names: Vec<&str> = job.types.iter().map(|t| t.name.as_str()).collect();
         self.pools
@@ -239,13 +241,13 @@
             .or_insert_with(|| MachinePool::new(job.types.clone()))
     }
 
-    /// A gang that lost too much on spot machines and now waits for on-demand ones.
+    /// Adds a gang that lost too much work on spot machines and now requires on-demand machines.
     fn add_on_demand_gang(&mut self, forecast: &CapacityForecast<'a>, job: &JobDemand<'a>) {
         let pool = self.pool(job);
         pool.waiting_machines += job.waiting_machines();
         pool.on_demand_gang_machines += job.waiting_machines();
         pool.all_allow_spot = false;
-        // The forecast places a whole gang or none of it, so what is free counts here.
+        // The forecast schedule places all tasks of a gang or none, so free resources are subtracted here.
         let need = &job.spec.resources;
         let free: i64 = forecast
             .view
@@ -253,7 +255,7 @@
             .iter()
             .filter(|(_, record)| !record.spot && pool.has_type(record))
             .filter_map(|(id, _)| forecast.schedule.free_resources.get(id))
-            // Backfill tasks leave on request: where GPUs are needed only GPUs count.
+            // Backfill tasks can be preempted, so only GPUs count for tasks that need GPUs.
             .map(|free| match need.gpus {
                 0 => free.count_fitting(need),
                 gpus => free.gpus / gpus,
@@ -276,8 +278,8 @@
         }
     }
 
-    /// Batch work of normal or low priority. `starved` of its tasks are within the minimum share of
-    /// their class; `team_use` is what the team's services use of its quota.
+    /// Adds batch work of normal or low priority. `starved` is the number of its tasks within the minimum
+    /// share of their class, `team_use` the part of the team's quota that its services use.
     fn add_batch(
         &mut self,
         forecast: &CapacityForecast<'a>,
@@ -289,14 +291,15 @@
         let zones = (job.unplaced > 0)
             .then(|| job.zones(forecast.view))
             .flatten();
-        // A minimum share is due now, and the flow does not say whether the machines at hand have room in
-        // one piece: tasks that take most of a machine never find any where small ones run.
+        // A minimum share is due immediately, and the throughput of the existing machines does not show
+        // whether any of them has enough free resources for one task: tasks that need most of a machine
+        // never fit on machines that run small tasks.
         if starved > 0 {
             let machines = f64::from(starved) / job.tasks_per_machine;
             self.shortfalls
                 .push(job.shortfall(forecast, zones.clone(), starved, machines));
         }
-        let horizon_s = horizon(forecast, spec) as f64 / MICROS_PER_SECOND;
+        let horizon_s = drain_horizon(forecast, spec) as f64 / MICROS_PER_SECOND;
         let waited = forecast.wall_clock.saturating_sub(job.job.waiting_since);
         let pool = self.pool(job);
         pool.backlog.push(BacklogWork {
@@ -308,15 +311,17 @@
                 machines: tasks as f64 / job.tasks_per_machine,
             }),
         });
-        if job.unplaced > 0 && waited > OVERDUE {
+        if job.unplaced > 0 && waited > OVERDUE_WAIT_TIME {
             pool.overdue_machines += job.unplaced_machines();
         }
-        // Throughput in other zones is no help to a job bound to a zone, and what the pool buys comes
-        // where it is cheapest: without a shortfall of its own such a job could wait for good.
+        // A job bound to a zone cannot use capacity in other zones, and the pool provisions machines in
+        // the cheapest zone. Without a separate shortfall such a job could wait forever.
         if zones.is_some() {
             pool.zone_bound_tasks += job.unplaced;
-            let due = job.work_s() / horizon_s;
-            let machines = job.unplaced_machines().min(due.max(ZONE_BOUND_MINIMUM));
+            let due_machines = job.work_s() / horizon_s;
+            let machines = job
+                .unplaced_machines()
+                .min(due_machines.max(ZONE_BOUND_MINIMUM_MACHINE_SHARE));
             self.shortfalls
                 .push(job.shortfall(forecast, zones, job.unplaced, machines));
             return;
@@ -326,7 +331,7 @@
 }
 
 impl<'a> MachinePool<'a> {
-    /// A job that no zone binds: what the pool buys helps it wherever it comes.
+    /// Adds a job that is not bound to a zone and can use new machines of the pool in any zone.
     fn add_in_any_zone(&mut self, job: &JobDemand<'a>) {
         let spec = job.spec;
         self.unplaced_machines += job.unplaced_machines();
@@ -344,9 +349,9 @@
     }
 }
 
-/// The time in which a job's backlog should drain: a share of the tightest objective of its class, or
-/// the default of its priority.
-fn horizon(forecast: &CapacityForecast<'_>, spec: &JobSpec) -> Micros {
+/// Returns the time within which a job's backlog should be processed: a share of the tightest objective
+/// of its class, or the default for its priority.
+fn drain_horizon(forecast: &CapacityForecast<'_>, spec: &JobSpec) -> Micros {
     let policy = forecast.policy;
     let wait_share = match spec.kind {
         JobKind::Gang => policy.gang_wait_share,
--- a/src/autoscaler/machine_pool.rs
+++ b/src/autoscaler/machine_pool.rs
@@ -1,5 +1,6 @@
-//! A pool: batch work that the same machine types can take, and how many machines it needs. The work is
-//! seen as a flow through the machines at hand. Pure.
+//! Machine pool: batch work that the same machine types can run, and the number of machines that it needs.
+//! The estimate compares the remaining work with the throughput of the existing machines. All functions
+//! are pure.
 
 use super::decision::CapacityForecast;
 use super::model::{MachineRecord, MachineState};
@@ -8,34 +9,36 @@
 use crate::wire::user::Priority;
 use std::collections::BTreeMap;
 
-/// How far a team's quota lets tasks of one job run at once.
+/// Limit that a team's quota sets on the concurrent tasks of one job.
 #[derive(Clone)]
 pub(super) struct QuotaLimit<'a> {
     /// Team.
     pub(super) team: &'a str,
-    /// Machines that such tasks can fill at once.
+    /// Number of machines that the tasks can fill concurrently.
     pub(super) machines: f64,
 }
 
-/// What is left of one job, and by when it should be done.
+/// Remaining work of one job, and the time within which it should be done.
 #[derive(Clone)]
 pub(super) struct BacklogWork<'a> {
     /// Priority of the job.
     pub(super) priority: Priority,
-    /// Seconds in which it should drain.
+    /// Time within which the work should be done, in seconds.
     pub(super) horizon_s: f64,
-    /// Work in machine seconds.
+    /// Remaining work in machine seconds.
     pub(super) work_s: f64,
-    /// Limit by the team's quota, if it has one.
+    /// Limit by the quota of the team, if it has a quota.
     pub(super) quota: Option<QuotaLimit<'a>>,
 }
 
-/// Work of one team with a quota: however much waits, only so much of it can be done in a time.
+/// Work of one team with a quota. The quota limits how much of it can be done in a given time, regardless
+/// of the size of the backlog.
 #[derive(Default)]
 struct QuotaLimitedWork {
-    /// Machine seconds.
+    /// Work in machine seconds.
     work_s: f64,
-    /// Sum of machine seconds times machines at once: the mean limit is weighted by the work.
+    /// Sum of machine seconds multiplied by the machine limit. Divided by `work_s` it gives the mean limit
+    /// weighted by work.
     weighted_machines: f64,
 }
 
@@ -45,7 +48,7 @@
         self.weighted_machines += work_s * machines;
     }
 
-    /// Machine seconds of it that can be done within a horizon.
+    /// Returns the machine seconds of work that can be done within a horizon.
     fn feasible_within(&self, horizon_s: f64) -> f64 {
         if self.work_s <= 0.0 {
             return 0.0;
@@ -55,36 +58,36 @@
     }
 }
 
-/// Batch work that the same machine types can take.
+/// Batch work that the same machine types can run.
 pub(super) struct MachinePool<'a> {
-    /// The machine types.
+    /// Machine types of the pool.
     pub(super) types: Vec<&'a MachineType>,
-    /// What is left of each job.
+    /// Remaining work of each job.
     pub(super) backlog: Vec<BacklogWork<'a>>,
-    /// Machines that the tasks without a machine would fill, of jobs that no zone binds.
+    /// Number of machines that unplaced tasks of jobs not bound to a zone would fill.
     pub(super) unplaced_machines: f64,
-    /// Machines that the largest gang needs.
+    /// Number of machines that the largest gang needs.
     pub(super) largest_gang_machines: f64,
-    /// Machines that all waiting tasks would fill.
+    /// Number of machines that all waiting tasks would fill.
     pub(super) waiting_machines: f64,
-    /// Whether all tasks without a machine may run on spot machines.
+    /// Whether all unplaced tasks may run on spot machines.
     pub(super) allow_spot: bool,
     /// Whether all work of the pool may run on spot machines in any zone.
     pub(super) all_allow_spot: bool,
-    /// On-demand machines for which gangs wait that spot machines failed too often.
+    /// Number of on-demand machines needed by gangs that lost too much work on spot machines.
     pub(super) on_demand_gang_machines: f64,
-    /// Resources of a task, of the last job added.
+    /// Resources of one task of the last job added.
     pub(super) resources: Resources,
-    /// Tasks without a machine, of jobs that no zone binds.
+    /// Number of unplaced tasks of jobs not bound to a zone.
     pub(super) unplaced_tasks: u32,
-    /// Tasks without a machine, of jobs bound to zones.
+    /// Number of unplaced tasks of jobs bound to zones.
     pub(super) zone_bound_tasks: u32,
-    /// Machines for tasks without one, of jobs that have waited for long.
+    /// Number of machines that unplaced tasks of overdue jobs would fill.
     pub(super) overdue_machines: f64,
 }
 
 impl<'a> MachinePool<'a> {
-    /// A pool without work.
+    /// Creates a pool without work.
     pub(super) fn new(types: Vec<&'a MachineType>) -> MachinePool<'a> {
         MachinePool {
             types,
@@ -102,31 +105,31 @@
         }
     }
 
-    /// The type of a machine, if it is one of the pool's.
+    /// Returns the type of a machine if it belongs to the pool.
     pub(super) fn type_of(&self, record: &MachineRecord) -> Option<&'a MachineType> {
         let mut types = self.types.iter().copied();
         types.find(|machine_type| machine_type.name == record.machine_type)
     }
 
-    /// Whether a machine is of one of the pool's types.
+    /// Returns whether the type of a machine belongs to the pool.
     pub(super) fn has_type(&self, record: &MachineRecord) -> bool {
         self.type_of(record).is_some()
     }
 
-    /// Whether every task has a machine.
+    /// Returns whether every task of the pool is placed.
     pub(super) fn is_satisfied(&self) -> bool {
         self.unplaced_tasks + self.zone_bound_tasks == 0
     }
 
-    /// Whether its tasks need GPUs.
+    /// Returns whether tasks of the pool need GPUs.
     pub(super) fn needs_gpus(&self) -> bool {
         self.resources.gpus > 0
     }
 
-    /// Machines to provision: what the machines at hand get done in time needs none; the rest is spread
-    /// over the time that is left once new machines are up.
+    /// Returns the number of machines to provision. Work that the existing machines finish in time needs
+    /// no new machine; the rest is divided by the time that remains after new machines have booted.
     pub(super) fn required_machines(&self, forecast: &CapacityForecast<'_>) -> f64 {
-        let (machines, capacity) = self.machines_at_hand(forecast);
+        let (machines, capacity) = self.machine_count_and_capacity(forecast);
         let boot_time_s = self
             .types
             .iter()
@@ -162,8 +165,9 @@
             .clamp(0.0, self.unplaced_machines)
     }
 
-    /// The pool's machines that are up or boot, and what they come to without what services take.
-    fn machines_at_hand(&self, forecast: &CapacityForecast<'_>) -> (f64, f64) {
+    /// Returns the number of the pool's machines that are up or booting, and their capacity in machines
+    /// without the share used by services.
+    fn machine_count_and_capacity(&self, forecast: &CapacityForecast<'_>) -> (f64, f64) {
         let (mut machines, mut capacity) = (0.0, 0.0);
         for (id, record) in &forecast.view.machines {
             let Some(machine_type) = self.type_of(record) else {
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -1,7 +1,8 @@
-//! Autoscaler: which machines of the cloud to provision and which to terminate. `decide` and what it calls
-//! are pure functions of a `CapacityForecast`; the leader's `reconciler` builds the forecast and carries the
-//! `ScalingDecision` out. The records of machines, scale-out requests and termination batches (`model`)
-//! are written by the reconciler, and by the owners of the machines' shards through `transactions`.
+//! Autoscaler: decides which cloud machines to provision and which to terminate. `decide` and the functions
+//! it calls are pure functions of a `CapacityForecast`; the leader's `reconciler` builds the forecast and
+//! executes the `ScalingDecision`. The records of machines, scale-out requests and termination batches
+//! (`model`) are written by the reconciler, and by the owners of the machines' shards through
+//! `transactions`.
 
 mod decision;
 mod demand;
@@ -20,10 +21,10 @@
 };
 pub use transactions::{declare_dead, put_machine};
 
-/// Decides which machines to provision, terminate, cordon and use again.
+/// Decides which machines to provision, terminate, cordon and uncordon.
 pub fn decide(forecast: &CapacityForecast<'_>) -> ScalingDecision {
     let mut decision = ScalingDecision {
-        scale_in: scale_in::finished_machines(forecast),
+        scale_in: scale_in::terminable_machines(forecast),
         ..ScalingDecision::default()
     };
     let demand::Demand {
@@ -42,7 +43,7 @@
         }
     }
     shortfalls.extend(service_reserve::shortfall(forecast));
-    decision.scale_out = scale_out::requests(forecast, &shortfalls);
+    decision.scale_out = scale_out::scale_out_requests(forecast, &shortfalls);
     scale_in::release_idle_machines(forecast, &mut decision, reserve_surplus_cpus);
     decision
 }
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -1,6 +1,7 @@
-//! Scale in: which machines are terminated, and which are cordoned so that they become empty. Pure.
+//! Scale-in: selects machines to terminate, and machines to cordon until they are empty. All functions are
+//! pure.
 
-use super::decision::{CapacityForecast, MINIMUM_CHARGE, ScalingDecision};
+use super::decision::{CapacityForecast, MINIMUM_CHARGE_DURATION, ScalingDecision};
 use super::demand::Shortfall;
 use super::machine_pool::MachinePool;
 use super::model::{MachineRecord, MachineState};
@@ -12,33 +13,35 @@
 use crate::wire::cloud::MachineType;
 use foldhash::HashSet;
 
-/// Spot machines replace on-demand ones below this share of their price: moving the work costs too.
-const SPOT_PRICE_SHARE: f64 = 0.7;
-/// Machines' worth of free capacity that is kept when machines are cordoned.
-const FREE_MACHINES_KEPT: f64 = 1.5;
-/// Idle machines with GPUs that are kept, as a share of those in use.
-const IDLE_GPU_SHARE: f64 = 0.1;
+/// Price of a spot machine, as a share of the on-demand price, below which it replaces an on-demand machine.
+/// The difference must exceed the cost of moving the work.
+const MAX_SPOT_PRICE_SHARE: f64 = 0.7;
+/// Free capacity, in machines, that is kept when machines are cordoned.
+const RESERVED_FREE_MACHINES: f64 = 1.5;
+/// Number of idle GPU machines that are kept, as a share of the GPU machines in use.
+const IDLE_GPU_MACHINE_SHARE: f64 = 0.1;
 
-/// Machines to terminate whatever the demand: those that never came up, and quarantined or cordoned ones
-/// that are empty.
-pub(super) fn finished_machines(forecast: &CapacityForecast<'_>) -> Vec<MachineId> {
+/// Returns the machines to terminate regardless of demand: machines whose provisioning timed out, and
+/// quarantined or cordoned machines that are empty.
+pub(super) fn terminable_machines(forecast: &CapacityForecast<'_>) -> Vec<MachineId> {
     let timeouts = ProvisioningTimeouts::new(forecast);
     let mut machines = Vec::new();
     for (id, record) in &forecast.view.machines {
         if timeouts.timed_out(forecast, id, record) {
             machines.push(id.clone());
         }
-        let charge_is_used = forecast.age(record) >= MINIMUM_CHARGE;
-        let leaves = record.state == MachineState::Quarantined
-            || (record.state == MachineState::Closing && charge_is_used);
-        if leaves && !forecast.has_tasks(id) {
+        let minimum_charge_elapsed = forecast.age(record) >= MINIMUM_CHARGE_DURATION;
+        let is_removable = record.state == MachineState::Quarantined
+            || (record.state == MachineState::Closing && minimum_charge_elapsed);
+        if is_removable && !forecast.has_tasks(id) {
             machines.push(id.clone());
         }
     }
     machines
 }
 
-/// Releases idle machines with GPUs; empty ones are already paid for and need not be cordoned first.
+/// Releases idle machines with GPUs. Empty machines have already used the minimum charge and are terminated
+/// without being cordoned first.
 pub(super) fn release_idle_gpu_machines(
     forecast: &CapacityForecast<'_>,
     pool: &MachinePool<'_>,
@@ -53,14 +56,15 @@
     }
 }
 
-/// Machines with GPUs beyond those in use, those that waiting tasks can fill, and a margin. They are the
-/// most expensive, so they do not wait for the usual idle time, empty or with backfill tasks.
+/// Returns the GPU machines beyond those in use, those that waiting tasks can fill, and a margin. GPU
+/// machines are the most expensive, so they are released without the usual idle time, whether they are empty
+/// or run backfill tasks.
 fn idle_gpu_machines(forecast: &CapacityForecast<'_>, pool: &MachinePool<'_>) -> Vec<MachineId> {
     if !pool.needs_gpus() {
         return Vec::new();
     }
     let mut in_use = 0usize;
-    // Whether it is a spot machine, and which.
+    // Spot flag and id of each idle machine.
     let mut idle: Vec<(bool, &MachineId)> = Vec::new();
     for (id, record) in forecast.machines_in(MachineState::Up) {
         if !pool.has_type(record) {
@@ -68,13 +72,13 @@
         }
         if !backfill_only(forecast.view, id, record) {
             in_use += 1;
-        } else if forecast.age(record) >= MINIMUM_CHARGE {
+        } else if forecast.age(record) >= MINIMUM_CHARGE_DURATION {
             idle.push((record.spot, id));
         }
     }
-    let kept = pool.waiting_machines + in_use as f64 * IDLE_GPU_SHARE;
-    let surplus = idle.len().saturating_sub(kept.ceil() as usize);
-    // On-demand machines first, but for those that gangs wait for.
+    let kept_count = pool.waiting_machines + in_use as f64 * IDLE_GPU_MACHINE_SHARE;
+    let surplus = idle.len().saturating_sub(kept_count.ceil() as usize);
+    // On-demand machines are released first, except those that gangs wait for.
     idle.sort();
     let on_demand = idle.iter().filter(|(spot, _)| !spot).count();
     idle.drain(..on_demand.min(pool.on_demand_gang_machines.ceil() as usize));
@@ -82,25 +86,26 @@
     idle.into_iter().map(|(_, id)| id.clone()).collect()
 }
 
-/// A machine that could be cordoned. On-demand machines come first, then those with the fewest tasks.
+/// Machine that could be cordoned. On-demand machines come first, then machines with the fewest tasks.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Candidate<'a> {
+struct CordonCandidate<'a> {
     spot: bool,
     tasks: usize,
     id: &'a MachineId,
-    /// CPUs that the reserve for services loses with it, in thousandths.
+    /// CPUs that the service reserve loses with the machine, in thousandths of a CPU.
     reserve_cpus: i64,
 }
 
-/// Machines beyond what the work of a satisfied pool needs: their work is drawn together on the others.
-/// `reserve_surplus_cpus` is what the reserve for services has to spare; it falls with what is taken.
+/// Returns the surplus machines of a satisfied pool. Their work is consolidated on the other machines.
+/// `reserve_surplus_cpus` is the surplus of the service reserve and is reduced by each machine returned.
 pub(super) fn surplus_machines(
     forecast: &CapacityForecast<'_>,
     pool: &MachinePool<'_>,
     reserve_surplus_cpus: &mut i64,
 ) -> Vec<MachineId> {
-    // Tasks of gangs are not drawn together: the cordoned machines are what the free capacity is for.
-    // Counted again in each decision it would cordon every machine in use, and others would be provisioned.
+    // Tasks of gangs are not consolidated, so the free capacity for which machines were cordoned remains
+    // free. If it were counted again in each decision, every machine in use would be cordoned and others
+    // provisioned in their place. Machines that are already cordoned are therefore subtracted.
     let cordoned = match pool.needs_gpus() {
         true => forecast
             .machines_in(MachineState::Closing)
@@ -108,16 +113,16 @@
             .count(),
         false => 0,
     };
-    let surplus = free_machines(forecast, pool) - FREE_MACHINES_KEPT - cordoned as f64;
+    let surplus = free_machines(forecast, pool) - RESERVED_FREE_MACHINES - cordoned as f64;
     let surplus = surplus.max(0.0) as usize;
-    let mut candidates: Vec<Candidate<'_>> = forecast
+    let mut candidates: Vec<CordonCandidate<'_>> = forecast
         .machines_in(MachineState::Up)
         .filter(|(id, record)| {
             forecast.service_cpus(id) == 0
-                && forecast.age(record) >= MINIMUM_CHARGE / 2
+                && forecast.age(record) >= MINIMUM_CHARGE_DURATION / 2
                 && forecast.has_tasks(id)
         })
-        .filter_map(|(id, record)| candidate(forecast, pool, id, record))
+        .filter_map(|(id, record)| cordon_candidate(forecast, pool, id, record))
         .collect();
     candidates.sort();
     let mut machines = Vec::new();
@@ -130,12 +135,13 @@
     machines
 }
 
-fn candidate<'a>(
+/// Returns the candidate for a machine, or `None` if its type does not belong to the pool.
+fn cordon_candidate<'a>(
     forecast: &CapacityForecast<'_>,
     pool: &MachinePool<'_>,
     id: &'a MachineId,
     record: &MachineRecord,
-) -> Option<Candidate<'a>> {
+) -> Option<CordonCandidate<'a>> {
     let machine_type = pool.type_of(record)?;
     let tasks = match forecast.view.tasks_on(id) {
         Some(_) if pool.needs_gpus() && backfill_only(forecast.view, id, record) => 0,
@@ -146,7 +152,7 @@
         true => Resources::of_machine(machine_type).cpus,
         false => 0,
     };
-    Some(Candidate {
+    Some(CordonCandidate {
         spot: record.spot,
         tasks,
         id,
@@ -154,25 +160,26 @@
     })
 }
 
-/// Free capacity of a pool's machines that are up, in machines: by GPUs where its tasks need them, since
-/// backfill tasks leave on request, else by CPUs.
+/// Returns the free capacity of a pool's machines that are up, in machines. It is measured in GPUs if tasks
+/// of the pool need GPUs, since backfill tasks can be preempted, and in CPUs otherwise.
 fn free_machines(forecast: &CapacityForecast<'_>, pool: &MachinePool<'_>) -> f64 {
     forecast
         .machines_in(MachineState::Up)
         .filter_map(|(id, record)| {
-            let whole = Resources::of_machine(pool.type_of(record)?);
+            let total = Resources::of_machine(pool.type_of(record)?);
             let free = forecast.schedule.free_resources.get(id)?;
-            let (free, whole) = match pool.needs_gpus() {
-                true => (free.gpus, whole.gpus),
-                false => (free.cpus, whole.cpus),
+            let (free, total) = match pool.needs_gpus() {
+                true => (free.gpus, total.gpus),
+                false => (free.cpus, total.cpus),
             };
-            Some(free.max(0) as f64 / whole.max(1) as f64)
+            Some(free.max(0) as f64 / total.max(1) as f64)
         })
         .sum()
 }
 
-/// Spot machines in place of on-demand ones whose work may all run on spot machines: there were none when
-/// the on-demand ones were provisioned. Those are cordoned as surplus once the new ones are up.
+/// Returns a shortfall of spot machines that replace on-demand machines, if all work of the pool may run on
+/// spot machines. No spot machines were available when the on-demand machines were provisioned. The
+/// on-demand machines are cordoned as surplus once the spot machines are up.
 pub(super) fn spot_replacement<'a>(
     forecast: &CapacityForecast<'a>,
     pool: &MachinePool<'a>,
@@ -198,7 +205,7 @@
         .filter(|machine_type| {
             machine_type
                 .spot_price_per_hour
-                .is_some_and(|price| price < machine_type.price_per_hour * SPOT_PRICE_SHARE)
+                .is_some_and(|price| price < machine_type.price_per_hour * MAX_SPOT_PRICE_SHARE)
         })
         .filter(|machine_type| {
             let mut zones = machine_type.zones.iter();
@@ -215,13 +222,13 @@
         spot: true,
         resources: pool.resources,
         tasks: replaceable as u32,
-        // One at a time: the on-demand machine is surplus only once the work has moved.
+        // One machine at a time: the on-demand machine is surplus only after its work has moved.
         machines: 1.0,
     })
 }
 
-/// Releases machines that have been idle for the policy's time, as far as the reserve for services can
-/// spare them.
+/// Releases machines that have been idle for longer than the idle time of the policy, as far as the surplus
+/// of the service reserve allows.
 pub(super) fn release_idle_machines(
     forecast: &CapacityForecast<'_>,
     decision: &mut ScalingDecision,
@@ -232,22 +239,22 @@
         let Some(machine_type) = forecast.machine_type(record) else {
             continue;
         };
-        let whole = Resources::of_machine(machine_type);
-        let idle_for_long = forecast.idle_since.get(id).is_some_and(|since| {
+        let total = Resources::of_machine(machine_type);
+        let idle_time_exceeded = forecast.idle_since.get(id).is_some_and(|since| {
             forecast.wall_clock.saturating_sub(*since) > forecast.policy.idle_return
         });
         if already_released.contains(id)
-            || !is_idle(forecast, id, record, &whole)
-            || !idle_for_long
-            || forecast.age(record) < MINIMUM_CHARGE
+            || !is_idle(forecast, id, record, &total)
+            || !idle_time_exceeded
+            || forecast.age(record) < MINIMUM_CHARGE_DURATION
         {
             continue;
         }
-        if !record.spot && whole.gpus == 0 {
-            if reserve_surplus_cpus < whole.cpus {
+        if !record.spot && total.gpus == 0 {
+            if reserve_surplus_cpus < total.cpus {
                 continue;
             }
-            reserve_surplus_cpus -= whole.cpus;
+            reserve_surplus_cpus -= total.cpus;
         }
         if forecast.has_tasks(id) {
             decision.cordon.push(id.clone());
@@ -257,21 +264,21 @@
     }
 }
 
-/// Whether a machine has nothing on it but backfill tasks, and the schedule plans nothing else for it.
-/// Backfill tasks leave on request, so with them, or on a machine with GPUs, only free GPUs count.
+/// Returns whether a machine runs only backfill tasks and the schedule places no other task on it. Backfill
+/// tasks can be preempted, so on machines with backfill tasks or GPUs only free GPUs are considered.
 fn is_idle(
     forecast: &CapacityForecast<'_>,
     id: &MachineId,
     record: &MachineRecord,
-    whole: &Resources,
+    total: &Resources,
 ) -> bool {
     backfill_only(forecast.view, id, record)
         && forecast
             .schedule
             .free_resources
             .get(id)
-            .is_some_and(|free| match forecast.has_tasks(id) || whole.gpus > 0 {
-                true => free.gpus == whole.gpus,
-                false => free == whole,
+            .is_some_and(|free| match forecast.has_tasks(id) || total.gpus > 0 {
+                true => free.gpus == total.gpus,
+                false => free == total,
             })
 }
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -1,4 +1,5 @@
-//! Scale out: where each shortfall is bought, and the requests that come of it. Pure.
+//! Scale-out: selects the instance kind for each shortfall and builds the scale-out requests. All functions
+//! are pure.
 
 use super::decision::{CapacityForecast, ScalingDecision};
 use super::demand::Shortfall;
@@ -8,26 +9,26 @@
 use crate::wire::cloud::MachineType;
 use std::collections::BTreeMap;
 
-/// Machines that the cloud provisions at most for one request.
-const MACHINES_PER_CLOUD_REQUEST: u64 = 50;
-/// A demand for less than this part of a machine is left to the machines at hand: it comes of rounding.
-const NEGLIGIBLE_MACHINES: f64 = 0.05;
-/// A cordoned machine is used again for more than this part of a machine of demand.
-const UNCORDON_ABOVE: f64 = 0.2;
+/// Maximum number of machines that the cloud provisions for one request.
+const MAX_MACHINES_PER_PROVISION_REQUEST: u64 = 50;
+/// Demand, as a share of a machine, that is treated as a rounding error and left to the existing machines.
+const NEGLIGIBLE_MACHINE_SHARE: f64 = 0.05;
+/// Demand, as a share of a machine, above which a cordoned machine is uncordoned.
+const UNCORDON_MACHINE_SHARE: f64 = 0.2;
 
-/// What can be bought: machines of one type in one zone, spot or on-demand. Ordered by these in turn.
+/// Kind of machine that the cloud offers: machine type, zone, and spot or on-demand. Ordered by these fields.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct InstanceKind {
     /// Name of the machine type.
     pub(super) machine_type: String,
     /// Zone.
     pub(super) zone: String,
-    /// Spot, not on-demand.
+    /// Whether the machines are spot machines rather than on-demand machines.
     pub(super) spot: bool,
 }
 
 impl InstanceKind {
-    /// The kind that a request asks for.
+    /// Returns the instance kind of a request.
     pub(super) fn of_request(request: &ScaleOutRequest) -> InstanceKind {
         InstanceKind {
             machine_type: request.machine_type.clone(),
@@ -37,16 +38,17 @@
     }
 }
 
-/// One way to meet a shortfall.
+/// Instance kind that can meet a shortfall, with its price.
 struct Offer<'a> {
-    /// Price per hour of one task.
+    /// Price per task and hour.
     price_per_task: f64,
     machine_type: &'a MachineType,
     zone: &'a str,
     spot: bool,
 }
 
-/// The cheapest offer, by price per task, that the cloud did not just refuse; the first of equals.
+/// Returns the offer with the lowest price per task, except offers that the cloud recently refused. If
+/// several have the same price, the first one is returned.
 fn cheapest_offer<'a>(
     forecast: &CapacityForecast<'_>,
     shortfall: &Shortfall<'a>,
@@ -54,7 +56,7 @@
     let mut offers: Vec<Offer<'a>> = Vec::new();
     for &machine_type in &shortfall.types {
         for zone in &machine_type.zones {
-            if !shortfall.helps_in(zone) {
+            if !shortfall.allows_zone(zone) {
                 continue;
             }
             for spot in [true, false] {
@@ -80,6 +82,7 @@
     })
 }
 
+/// Returns the price per hour of a machine, divided by the number of the shortfall's tasks that it can run.
 fn price_per_task(machine_type: &MachineType, spot: bool, shortfall: &Shortfall<'_>) -> f64 {
     let price_per_hour = match spot {
         true => machine_type
@@ -94,9 +97,9 @@
     price_per_hour / tasks as f64
 }
 
-/// Scale-out requests for all shortfalls: each is bought where it is cheapest, one request a kind of
-/// machine, none where the cloud has not answered the last one yet.
-pub(super) fn requests(
+/// Returns the scale-out requests for all shortfalls. Each shortfall is met by its cheapest offer. There is
+/// one request per instance kind, and none for a kind whose previous request is still unanswered.
+pub(super) fn scale_out_requests(
     forecast: &CapacityForecast<'_>,
     shortfalls: &[Shortfall<'_>],
 ) -> Vec<ScaleOutRequest> {
@@ -109,18 +112,18 @@
     }
     let open_requests = || view.scale_out_requests.values().filter(|r| r.open());
     let requested: u64 = open_requests().map(|r| u64::from(r.count)).sum();
-    let mut total = view.machines.len() as u64 + requested;
+    let mut machine_total = view.machines.len() as u64 + requested;
     let mut requests = Vec::new();
     for (kind, machines) in machines_by_kind {
         if open_requests().any(|r| InstanceKind::of_request(r) == kind) {
             continue;
         }
-        let count = ((machines - NEGLIGIBLE_MACHINES).ceil().max(0.0) as u64)
-            .min(forecast.policy.max_machines.saturating_sub(total))
-            .min(MACHINES_PER_CLOUD_REQUEST)
+        let count = ((machines - NEGLIGIBLE_MACHINE_SHARE).ceil().max(0.0) as u64)
+            .min(forecast.policy.max_machines.saturating_sub(machine_total))
+            .min(MAX_MACHINES_PER_PROVISION_REQUEST)
             .min(forecast.machines_per_request as u64);
         if count > 0 {
-            total += count;
+            machine_total += count;
             requests.push(ScaleOutRequest {
                 machine_type: kind.machine_type,
                 zone: kind.zone,
@@ -134,8 +137,8 @@
     requests
 }
 
-/// What a pool with unplaced tasks still lacks once its cordoned machines are used again: these are
-/// nearer than anything new, and have room for what has waited for long.
+/// Returns the shortfall of a pool with unplaced tasks after its cordoned machines are uncordoned. Cordoned
+/// machines are available sooner than new ones, and have free resources for overdue tasks.
 pub(super) fn pool_shortfall<'a>(
     forecast: &CapacityForecast<'_>,
     pool: MachinePool<'a>,
@@ -144,7 +147,7 @@
     let mut machines = pool.required_machines(forecast);
     let mut overdue_machines = pool.overdue_machines;
     for (id, record) in forecast.machines_in(MachineState::Closing) {
-        if machines.max(overdue_machines) > UNCORDON_ABOVE && pool.has_type(record) {
+        if machines.max(overdue_machines) > UNCORDON_MACHINE_SHARE && pool.has_type(record) {
             decision.scale_in.retain(|other| other != id);
             decision.uncordon.push(id.clone());
             machines = (machines - 1.0).max(0.0);
--- a/src/autoscaler/service_reserve.rs
+++ b/src/autoscaler/service_reserve.rs
@@ -1,5 +1,5 @@
-//! Reserve for services: CPUs on on-demand machines that a service can have at once, because they are
-//! free or because what runs there is preempted for it. CPUs are in thousandths.
+//! Service reserve: CPUs on on-demand machines that a service can use immediately, because they are free or
+//! used by tasks that can be preempted for it. CPUs are in thousandths of a CPU.
 
 use super::decision::CapacityForecast;
 use super::demand::Shortfall;
@@ -8,15 +8,15 @@
 use crate::wire::cloud::MachineType;
 use crate::wire::user::JobKind;
 
-/// Thousandths of a CPU in one CPU.
-const CPU: i64 = 1000;
+const MILLICPUS_PER_CPU: i64 = 1000;
 
-/// CPUs at hand beyond the reserve; below 0 if the reserve is not met.
+/// Returns the available CPUs beyond the required reserve; negative if the reserve is not met.
 pub(super) fn surplus_cpus(forecast: &CapacityForecast<'_>) -> i64 {
     available_cpus(forecast) - required_cpus(forecast)
 }
 
-/// CPUs that should be at hand: a share of what services use, and at least the largest service.
+/// Returns the required reserve: a share of the CPUs that services use, and at least those of the largest
+/// service.
 fn required_cpus(forecast: &CapacityForecast<'_>) -> i64 {
     let (mut total, mut largest) = (0, 0);
     for (id, job) in &forecast.view.jobs {
@@ -31,7 +31,7 @@
     ((total as f64 * forecast.policy.service_spare) as i64).max(largest)
 }
 
-/// CPUs at hand: free on machines of the reserve, or used there by arrays that can be preempted.
+/// Returns the available CPUs: free on machines of the reserve, or used there by preemptible arrays.
 fn available_cpus(forecast: &CapacityForecast<'_>) -> i64 {
     let mut total = 0;
     for (id, record) in &forecast.view.machines {
@@ -45,7 +45,7 @@
     total
 }
 
-/// Whether a machine counts towards the reserve: on-demand and without GPUs.
+/// Returns whether a machine counts towards the reserve, i.e. is on-demand and has no GPUs.
 pub(super) fn in_reserve(forecast: &CapacityForecast<'_>, record: &MachineRecord) -> bool {
     !record.spot
         && forecast
@@ -53,10 +53,10 @@
             .is_some_and(|machine_type| machine_type.gpus == 0.0)
 }
 
-/// What the reserve lacks.
+/// Returns the shortfall of the reserve, or `None` if the reserve is met.
 pub(super) fn shortfall<'a>(forecast: &CapacityForecast<'a>) -> Option<Shortfall<'a>> {
-    let lacking_cpus = -surplus_cpus(forecast);
-    if lacking_cpus <= 0 {
+    let missing_cpus = -surplus_cpus(forecast);
+    if missing_cpus <= 0 {
         return None;
     }
     let types: Vec<&MachineType> = forecast
@@ -74,11 +74,11 @@
         zones: None,
         spot: false,
         resources: Resources {
-            cpus: CPU,
+            cpus: MILLICPUS_PER_CPU,
             gpus: 0,
             memory: 0,
         },
-        tasks: (lacking_cpus / CPU).max(1) as u32,
-        machines: lacking_cpus as f64 / largest_machine_cpus.max(1) as f64,
+        tasks: (missing_cpus / MILLICPUS_PER_CPU).max(1) as u32,
+        machines: missing_cpus as f64 / largest_machine_cpus.max(1) as f64,
     })
 }
