--- a/src/autoscaler/model.rs
+++ b/src/autoscaler/model.rs
@@ -1,5 +1,5 @@
-//! Stored records of the autoscaler: machines, scale-out requests, termination batches. Field names in the
-//! state service are the short ones of `serde`.
+//! Stored records of the autoscaler: machines, scale-out requests and termination batches. The `serde`
+//! attributes give the short field names used in the state service.
 
 use crate::ids::MachineId;
 use crate::time::Micros;
@@ -8,31 +8,32 @@
 /// Desired state of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MachineState {
-    /// Provisioned or listed; its worker has sent no heartbeat yet.
+    /// Provisioned or in the cloud's machine list, but no heartbeat of its worker has been received yet.
     #[serde(rename = "b")]
     Booting,
-    /// Takes tasks.
+    /// Ready: tasks can be placed on it.
     #[serde(rename = "u")]
     Up,
-    /// Preemption notice received from the cloud: tasks that can write a checkpoint are stopped, nothing new
-    /// starts.
+    /// Preemption notice received from the cloud: tasks that can write a checkpoint are stopped, and no new
+    /// task is placed on it.
     #[serde(rename = "d")]
     Draining,
-    /// Cordoned, since the work needs fewer machines: nothing new starts, and it is terminated once empty.
+    /// Cordoned because the work needs fewer machines: no new task is placed on it, and it is terminated
+    /// once empty.
     #[serde(rename = "c")]
     Closing,
-    /// Its tasks fail or are slow: nothing new starts, and it is terminated once empty.
+    /// Its tasks fail or are slow: no new task is placed on it, and it is terminated once empty.
     #[serde(rename = "k")]
     Quarantined,
-    /// Declared dead: to be terminated with all that runs on it.
+    /// Declared dead: to be terminated together with all tasks on it.
     #[serde(rename = "l")]
     Lost,
-    /// Being terminated; final.
+    /// Being terminated. This state is final.
     #[serde(rename = "r")]
     Returning,
 }
 
-/// A machine. Its record is deleted only once nothing can run on it any more.
+/// Record of a machine. It is deleted only when no task can still be running on the machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
     /// Machine type.
@@ -41,26 +42,27 @@
     /// Zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Whether it is a spot machine, not an on-demand one.
+    /// Whether the machine is a spot machine rather than an on-demand machine.
     #[serde(rename = "p")]
     pub spot: bool,
     /// Address of its worker, once known.
     #[serde(rename = "a")]
     pub address: Option<String>,
-    /// Session (agent epoch) of its worker; 0 until the first heartbeat.
+    /// Session (agent epoch) of its worker; 0 before the first heartbeat.
     #[serde(rename = "s")]
     pub session: u64,
     /// Desired state.
     #[serde(rename = "st")]
     pub state: MachineState,
-    /// Wall-clock time at which it was provisioned, or first seen.
+    /// Wall-clock time at which the machine was provisioned or first seen.
     #[serde(rename = "r")]
     pub rented_at: Micros,
 }
 
-/// A request for machines of one kind. It is written before it is sent, so that its name is known to every
-/// leader; the cloud's answer adds the machines. Machines found in the cloud's list are written as an
-/// answered request. It stays until each of its machines has a record of its own, or is gone.
+/// Request for machines of one type and zone, all spot or all on-demand. It is stored before it is sent, so
+/// that every later leader can resend it under the same name; the cloud's response adds the machine names.
+/// Unknown machines in the cloud's machine list are stored as an answered request. A request is kept until
+/// each of its machines has a separate record or is terminated.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScaleOutRequest {
     /// Machine type.
@@ -69,22 +71,22 @@
     /// Zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Whether it is a spot machine, not an on-demand one.
+    /// Whether spot machines are requested rather than on-demand machines.
     #[serde(rename = "p")]
     pub spot: bool,
-    /// How many machines are requested.
+    /// Number of machines requested.
     #[serde(rename = "n")]
     pub count: u32,
     /// Wall-clock time of the request.
     #[serde(rename = "at")]
     pub requested_at: Micros,
-    /// The machines, once the cloud has answered.
+    /// Names of the machines; empty until the cloud has answered.
     #[serde(rename = "m", default)]
     pub machines: Vec<String>,
 }
 
 impl ScaleOutRequest {
-    /// The record of one of its machines that has no record of its own yet.
+    /// Returns the initial record of a machine of this request that has no stored record yet.
     pub fn machine(&self) -> MachineRecord {
         MachineRecord {
             machine_type: self.machine_type.clone(),
@@ -97,24 +99,25 @@
         }
     }
 
-    /// Whether the cloud has not answered yet.
+    /// Returns whether the cloud has not answered the request yet.
     pub fn open(&self) -> bool {
         self.machines.is_empty()
     }
 }
 
-/// Machines to terminate, marked with one write. Where a batch names a machine, that overrides the machine's
-/// own record.
+/// Machines marked for termination with one write. A batch that names a machine takes precedence over the
+/// state in the machine's record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TerminationBatch {
-    /// The machines.
+    /// Ids of the machines.
     #[serde(rename = "m")]
     pub machines: Vec<MachineId>,
-    /// The cloud has answered 200: they are gone with all that ran on them. Their records are deleted when
-    /// writes can be spared, and then the batch.
+    /// Whether the cloud has answered 200: the machines and all tasks on them are terminated. Their records
+    /// and then the batch are deleted when spare write capacity is available.
     #[serde(rename = "g", default)]
     pub terminated: bool,
-    /// They were declared dead: they are terminated with all that runs on them, not only while empty.
+    /// Whether the machines were declared dead. Such machines are terminated even if tasks are placed on
+    /// them, other machines only while empty.
     #[serde(rename = "l", default, skip_serializing_if = "std::ops::Not::not")]
     pub declared_dead: bool,
 }
--- a/src/autoscaler/provisioning_timeout.rs
+++ b/src/autoscaler/provisioning_timeout.rs
@@ -1,5 +1,5 @@
-//! Machines that do not come up: which ones the forecast stops counting on, and which ones are given
-//! up. Pure functions of the cluster state.
+//! Provisioning timeouts: which booting machines are late and excluded from the forecast, and which have
+//! timed out and are terminated. All functions are pure functions of the cluster state.
 
 use super::decision::CapacityForecast;
 use super::model::{MachineRecord, MachineState};
@@ -8,30 +8,31 @@
 use crate::time::{Micros, SECOND, from_secs};
 use foldhash::{HashMap, HashMapExt, HashSet};
 
-/// A machine that has not come up after this multiple of its type's boot time, plus
-/// `BOOT_GRACE`, is given up.
-const BOOT_TIME_LIMIT: u64 = 3;
-/// Added to `BOOT_TIME_LIMIT`: for types that boot fast, the write that a machine is ready takes
-/// longer than the boot.
-const BOOT_GRACE: Micros = 15 * SECOND;
+/// Multiple of its type's boot time after which a booting machine times out. `BOOT_GRACE_TIME` is added.
+const BOOT_TIMEOUT_MULTIPLE: u64 = 3;
+/// Time added to the multiple of the boot time: for types that boot fast, the write that marks a machine
+/// ready takes longer than the boot.
+const BOOT_GRACE_TIME: Micros = 15 * SECOND;
 /// Boot time assumed for a type that the cloud no longer lists.
 const DEFAULT_BOOT_TIME: Micros = 60 * SECOND;
-/// Tenths of its type's boot time after which a machine is late.
-const LATE_TENTHS: u64 = 17;
-/// Tenths of its type's boot time after which a late machine is given up, if others of its type that
-/// were provisioned no earlier are up.
-const GIVE_UP_TENTHS: u64 = 25;
-/// Longest delay of the write that a machine is ready, while writes are short.
+/// Boot time after which a machine is late, in tenths of its type's boot time.
+const LATE_BOOT_TIME_TENTHS: u64 = 17;
+/// Boot time after which a late machine times out, in tenths of its type's boot time, if other machines of
+/// its type that were provisioned no earlier are up.
+const EARLY_TIMEOUT_BOOT_TIME_TENTHS: u64 = 25;
+/// Longest delay of the write that marks a machine ready, while write capacity is scarce.
 pub const MAX_READY_WRITE_DELAY: Micros = 20 * SECOND;
-/// The same while peer heartbeats tell the other controllers: while a large cluster starts, one write
-/// a machine would take a large part of the write budget, and services would wait for it.
+/// Longest delay of the same write while the other controllers receive the ready machines in peer heartbeats.
+/// While a large cluster starts, one write per machine would use a large part of the write budget
+/// and delay the placement of services.
 pub const MAX_READY_WRITE_DELAY_PEERS_AWARE: Micros = 90 * SECOND;
 
-/// Machines that boot for longer than `tenths` tenths of their type's boot time although others of the
-/// type, provisioned at the same time or later, are up. `is_ready` names machines whose record is out of
-/// date. A gang would wait for one of these until it is given up, and keep all its other machines idle.
-/// If all machines of a type are late, booting is slow just now, and replacing them would provision twice.
-fn overdue(
+/// Returns the machines that have been booting for longer than `tenths` tenths of their type's boot time
+/// although other machines of the type, provisioned at the same time or later, are up. Machines for which
+/// `is_ready` returns true have an outdated record and are excluded. A gang that counts on a late machine
+/// would wait until the machine times out, with all its other machines idle. If all machines of a type
+/// are late, booting is slow in general, and replacing them would provision twice the capacity.
+fn late_machines(
     view: &ClusterState,
     wall_clock: Micros,
     tenths: u64,
@@ -62,31 +63,31 @@
         .collect()
 }
 
-/// Late machines, on which the forecast does not count. `is_ready` names machines whose record is out of
-/// date.
+/// Returns the late machines, which the forecast excludes. Machines for which `is_ready` returns true have
+/// an outdated record and are not late.
 pub fn not_expected(
     view: &ClusterState,
     wall_clock: Micros,
     is_ready: &dyn Fn(&MachineId) -> bool,
 ) -> HashSet<MachineId> {
-    overdue(view, wall_clock, LATE_TENTHS, is_ready)
+    late_machines(view, wall_clock, LATE_BOOT_TIME_TENTHS, is_ready)
 }
 
-/// Booting machines that are given up.
+/// Booting machines that timed out early because later machines of their type are up.
 pub(super) struct ProvisioningTimeouts(HashSet<MachineId>);
 
 impl ProvisioningTimeouts {
-    /// Machines that others of their type have overtaken by far.
+    /// Finds the machines that have exceeded the early timeout, see `EARLY_TIMEOUT_BOOT_TIME_TENTHS`.
     pub(super) fn new(forecast: &CapacityForecast<'_>) -> ProvisioningTimeouts {
-        ProvisioningTimeouts(overdue(
+        ProvisioningTimeouts(late_machines(
             forecast.view,
             forecast.wall_clock,
-            GIVE_UP_TENTHS,
+            EARLY_TIMEOUT_BOOT_TIME_TENTHS,
             forecast.known_up,
         ))
     }
 
-    /// Whether a machine has timed out: overtaken by others, or over the limit of its type.
+    /// Returns whether a machine has timed out, either early or by the boot timeout of its type.
     pub(super) fn timed_out(
         &self,
         forecast: &CapacityForecast<'_>,
@@ -101,6 +102,7 @@
             .map_or(DEFAULT_BOOT_TIME, |machine_type| {
                 from_secs(machine_type.boot_time_s)
             });
-        self.0.contains(id) || forecast.age(record) > boot_time * BOOT_TIME_LIMIT + BOOT_GRACE
+        self.0.contains(id)
+            || forecast.age(record) > boot_time * BOOT_TIMEOUT_MULTIPLE + BOOT_GRACE_TIME
     }
 }
--- a/src/autoscaler/transactions.rs
+++ b/src/autoscaler/transactions.rs
@@ -1,5 +1,5 @@
-//! Transactions on the records of machines that more than one part of the controller writes. Each holds
-//! only on the state from which it was made.
+//! Transactions on machine records, used by several modules of the controller. Their preconditions fail if
+//! the state from which they were built has changed.
 
 use super::model::{MachineRecord, TerminationBatch};
 use crate::ids::MachineId;
@@ -10,8 +10,8 @@
 use crate::wire::to_value;
 use std::collections::BTreeSet;
 
-/// Adds the write of a machine's record to a transaction, on condition that the record is as `view` has
-/// it.
+/// Adds the write of a machine's record to a transaction, with the precondition that the record is unchanged
+/// since `view`.
 pub fn put_machine(
     transaction: &mut Transaction,
     view: &ClusterState,
@@ -29,20 +29,20 @@
     });
 }
 
-/// The write of a termination batch, on condition that the keys in `unchanged` are as `view` has them.
-/// `name` was never used before.
+/// Returns the transaction that writes a termination batch under the new name `name`, with the precondition
+/// that the keys in `unchanged_keys` have not changed since `view`.
 pub(super) fn put_termination_batch(
     view: &ClusterState,
     name: &str,
     batch: &TerminationBatch,
-    unchanged: Vec<String>,
+    unchanged_keys: Vec<String>,
 ) -> Transaction {
     let key = keys::termination_batch(name);
     let mut preconditions = vec![Precondition {
         key: key.clone(),
         version: 0,
     }];
-    preconditions.extend(unchanged.into_iter().map(|key| view.precondition(key)));
+    preconditions.extend(unchanged_keys.into_iter().map(|key| view.precondition(key)));
     Transaction {
         preconditions,
         mutations: vec![Mutation::Put {
@@ -53,10 +53,10 @@
     }
 }
 
-/// The write that declares machines dead, many at a time: when a zone fails, a write for each would use
-/// the write budget for seconds, while what ran there waits to be placed again. It holds only as long as
-/// the terms of the machines' shards do: from a controller that was partitioned away it may arrive a
-/// minute later, when another one owns them.
+/// Returns the transaction that declares several machines dead with one write. When a zone fails, one write
+/// per machine would use the write budget for seconds, while the tasks of the zone wait to be placed again.
+/// The precondition is that the terms of the machines' shards are unchanged: the write of a partitioned
+/// controller may arrive a minute later, when another controller owns the shards.
 pub fn declare_dead(view: &ClusterState, name: &str, machines: Vec<MachineId>) -> Transaction {
     let shards: BTreeSet<u32> = machines.iter().map(|id| shard_of(id)).collect();
     let batch = TerminationBatch {
