--- a/src/autoscaler/reconciler.rs
+++ b/src/autoscaler/reconciler.rs
@@ -1,6 +1,7 @@
-//! The leader's loop: machine types and machine list of the cloud, scaling decisions, and the requests
-//! that carry them out. While a controller leads it alone writes machine types, scale-out requests and
-//! termination batches of empty machines; `LeaderState` is lost with the lead.
+//! Reconciliation loop of the leader: reads the cloud's machine types and machine list, makes scaling
+//! decisions, and sends the cloud requests that execute them. Only the leader writes machine types,
+//! scale-out requests and termination batches of empty machines. `LeaderState` is discarded when leadership
+//! is lost.
 
 mod garbage_collection;
 mod machine_list;
@@ -25,52 +26,53 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Limit for an answer of the cloud.
-const CLOUD_TIMEOUT: Micros = 5 * SECOND;
-/// Interval of the leader's loop.
+/// Timeout of a request to the cloud.
+const CLOUD_REQUEST_TIMEOUT: Micros = 5 * SECOND;
+/// Interval of the reconciliation loop.
 const LOOP_INTERVAL: Micros = SECOND / 4;
-/// Shortest interval of scaling decisions.
-const DECISION_INTERVAL: Micros = SECOND / 2;
-/// Decisions take at most this part of the leader's time: one in so many.
+/// Shortest interval between scaling decisions.
+const MIN_DECISION_INTERVAL: Micros = SECOND / 2;
+/// Interval between decisions as a multiple of the duration of the last one. It limits decisions to the
+/// reciprocal share of the leader's time.
 const DECISION_TIME_DIVISOR: u64 = 20;
-/// After a controller became leader, time in which every reachable owner has told it in a peer heartbeat
-/// which of its machines are ready.
-const PEER_HEARTBEATS_COMPLETE: Micros = 5 * SECOND;
-/// Interval at which machine types are read, for their prices.
+/// Time after a change of leader within which the new leader receives a peer heartbeat from every reachable
+/// owner, listing the owner's ready machines.
+const PEER_HEARTBEATS_COMPLETE_TIME: Micros = 5 * SECOND;
+/// Interval at which machine types are read to keep prices up to date.
 const MACHINE_TYPES_INTERVAL: Micros = 60 * SECOND;
 /// Shortest interval at which the cloud's machine list is read.
-const MACHINE_LIST_INTERVAL_MIN: Micros = 2 * SECOND;
+const MIN_MACHINE_LIST_INTERVAL: Micros = 2 * SECOND;
 
-/// What the leader remembers while it leads. Times are of the monotonic clock unless it says otherwise.
+/// State of the leader, kept in memory. Times are of the monotonic clock unless stated otherwise.
 #[derive(Default)]
 struct LeaderState {
-    /// Since when it leads.
+    /// Time at which this controller became leader.
     leader_since: Micros,
-    /// When machine types were read last.
+    /// Time of the last read of the machine types.
     machine_types_read_at: Micros,
-    /// When the machine list was read last.
+    /// Time of the last read of the machine list.
     machine_list_read_at: Micros,
-    /// When the last fairness round ran.
+    /// Time of the last fairness round.
     fairness_round_at: Micros,
     /// Wall-clock time since which each idle machine has been idle.
     idle_since: HashMap<MachineId, Micros>,
-    /// Wall-clock time at which each terminated machine was terminated: the list lags and may still show
-    /// it.
+    /// Wall-clock time at which the termination of each machine was requested. The machine list lags and may
+    /// still contain the machine.
     terminated_at: HashMap<String, Micros>,
-    /// How many lists in a row a booting machine was missing from.
-    times_unlisted: HashMap<MachineId, u32>,
-    /// When the last scaling decision began.
+    /// Number of consecutive machine lists in which a booting machine was missing.
+    consecutive_unlisted: HashMap<MachineId, u32>,
+    /// Start time of the last scaling decision.
     decided_at: Micros,
-    /// Interval to the next decision, by how long the last one took.
+    /// Interval until the next decision, derived from the duration of the last one.
     decision_interval: Micros,
-    /// Names of scale-out requests and termination batches whose request to the cloud is outstanding.
+    /// Names of scale-out requests and termination batches with an outstanding request to the cloud.
     outstanding_requests: Rc<RefCell<HashSet<String>>>,
-    /// Machines of which a termination without a batch is outstanding.
+    /// Machines with an outstanding termination request outside a termination batch.
     outstanding_terminations: Rc<RefCell<HashSet<MachineId>>>,
 }
 
 impl LeaderState {
-    /// The state of a controller that leads from this time on.
+    /// Creates the state of a controller that became leader at the given time.
     fn new(leader_since: Micros) -> LeaderState {
         LeaderState {
             leader_since,
@@ -80,7 +82,7 @@
 }
 
 impl Controller {
-    /// Runs the autoscaler and the fairness rounds while this controller leads.
+    /// Runs the autoscaler and the fairness rounds while this controller is the leader.
     pub async fn autoscaler_loop(self: Rc<Controller>) {
         let mut state = LeaderState::new(self.clock.now());
         loop {
@@ -92,12 +94,12 @@
                 state = LeaderState::new(self.clock.now());
                 continue;
             }
-            self.lead(&mut state).await;
+            self.run_leader_iteration(&mut state).await;
         }
     }
 
-    /// One turn of the leader's loop.
-    async fn lead(self: &Rc<Controller>, state: &mut LeaderState) {
+    /// Runs one iteration of the reconciliation loop.
+    async fn run_leader_iteration(self: &Rc<Controller>, state: &mut LeaderState) {
         let now = self.clock.now();
         self.refresh_from_cloud(state, now).await;
         if now.saturating_sub(state.fairness_round_at) >= self.policy.fairness_round {
@@ -105,7 +107,7 @@
             if tracing::enabled!(tracing::Level::DEBUG) {
                 let view = self.watch_cache.view();
                 let machines = machine_counts(&view);
-                tracing::debug!(?machines, "machines by type, spot and state");
+                tracing::debug!(?machines, "machine counts by type, spot and state");
             }
             self.fairness_round().await;
         }
@@ -116,13 +118,15 @@
         }
         state.decided_at = decision_began;
         let decision = self.scaling_decision(state, now);
-        let took = self.clock.now().saturating_sub(decision_began);
-        state.decision_interval = DECISION_INTERVAL.max(took * DECISION_TIME_DIVISOR);
+        let decision_duration = self.clock.now().saturating_sub(decision_began);
+        state.decision_interval =
+            MIN_DECISION_INTERVAL.max(decision_duration * DECISION_TIME_DIVISOR);
         self.write_decision(decision).await;
         self.execute_requests(state);
     }
 
-    /// Reads machine types and the machine list when it is time, and closes what is finished.
+    /// Reads machine types and the machine list when due, and cleans up finished scale-out requests and
+    /// terminated machines.
     async fn refresh_from_cloud(&self, state: &mut LeaderState, now: Micros) {
         if now.saturating_sub(state.machine_types_read_at) > MACHINE_TYPES_INTERVAL
             || self.watch_cache.view().machine_types.is_empty()
@@ -130,8 +134,8 @@
             state.machine_types_read_at = now;
             self.refresh_machine_types().await;
         }
-        // A list that lags shows nothing new more often than this.
-        let list_interval = (self.settings.list_lag / 2).max(MACHINE_LIST_INTERVAL_MIN);
+        // The list lags, so a shorter interval would not return newer data.
+        let list_interval = (self.settings.list_lag / 2).max(MIN_MACHINE_LIST_INTERVAL);
         if now.saturating_sub(state.machine_list_read_at) > list_interval {
             state.machine_list_read_at = now;
             self.reconcile_with_machine_list(state).await;
@@ -141,14 +145,14 @@
         }
     }
 
-    /// Sends every request to the cloud that is written, not answered and not outstanding.
+    /// Sends every stored request to the cloud that is neither answered nor outstanding.
     fn execute_requests(self: &Rc<Controller>, state: &mut LeaderState) {
         self.execute_scale_out_requests(state);
         self.execute_terminations(state);
         self.execute_termination_batches(state);
     }
 
-    /// Decides on the cluster state as it is. `now` is when this turn of the loop began.
+    /// Makes a scaling decision on the current cluster state. `now` is the start time of this iteration.
     fn scaling_decision(&self, state: &mut LeaderState, now: Micros) -> ScalingDecision {
         let view = self.watch_cache.view();
         let wall_clock = wall();
@@ -164,7 +168,7 @@
             }
         }
         let heartbeats_incomplete =
-            now.saturating_sub(state.leader_since) < PEER_HEARTBEATS_COMPLETE;
+            now.saturating_sub(state.leader_since) < PEER_HEARTBEATS_COMPLETE_TIME;
         decide(&CapacityForecast {
             view: &view,
             schedule: &schedule,
@@ -174,15 +178,17 @@
             wall_clock,
             refused: &|machine_type, zone, spot| {
                 self.provisioning_errors
-                    .refused(machine_type, zone, spot, now)
+                    .recently_refused(machine_type, zone, spot, now)
             },
             idle_since: &state.idle_since,
             machines_per_request: self.machines_per_request(),
-            // A new leader does not know yet what the owners know: nothing is given up meanwhile.
-            known_up: &|id| heartbeats_incomplete || self.known_up(id),
+            // A new leader has not yet received the owners' peer heartbeats, so no machine times out until
+            // then.
+            known_up: &|id| heartbeats_incomplete || self.is_known_ready(id),
         })
     }
 
+    /// Writes the state changes and requests of a decision.
     async fn write_decision(&self, decision: ScalingDecision) {
         if self.limits().newer_layout {
             self.write_termination_batches(&decision.scale_in).await;
@@ -195,28 +201,29 @@
         self.write_machine_states(&decision.uncordon, MachineState::Up)
             .await;
         for request in decision.scale_out {
-            let name = self.cloud_request_name();
+            let name = self.next_cloud_request_name();
             self.write_scale_out_request(&name, &request).await;
         }
     }
 
-    /// The schedule over all machines of the cluster, as the leader sees it. With `booting` machines it
-    /// shows what will be missing once they are up, without them what has no machine now.
-    pub fn forecast(&self, view: &ClusterState, booting: bool) -> Schedule {
+    /// Computes the schedule over all machines of the cluster. With `include_booting` the schedule shows
+    /// which tasks stay unplaced once the booting machines are up, otherwise which tasks have no machine
+    /// now.
+    pub fn forecast(&self, view: &ClusterState, include_booting: bool) -> Schedule {
         let wall_clock = wall();
-        let late = not_expected(view, wall_clock, &|id| self.known_up(id));
+        let late_machines = not_expected(view, wall_clock, &|id| self.is_known_ready(id));
         scheduling::schedule(&SchedulingInput {
             view,
             wall_clock,
             teams: &self.settings.teams,
             objectives: &self.settings.objectives,
             schedulable: &|id, record| {
-                let counts = match record.state {
+                let is_counted = match record.state {
                     MachineState::Up => true,
-                    MachineState::Booting => booting && !late.contains(id),
+                    MachineState::Booting => include_booting && !late_machines.contains(id),
                     _ => false,
                 };
-                counts.then_some(SchedulableMachine {
+                is_counted.then_some(SchedulableMachine {
                     session: record.session,
                     owned: true,
                 })
@@ -233,8 +240,9 @@
         })
     }
 
-    /// Whether a machine is ready by its own heartbeats or by its owner's, whatever its record says.
-    fn known_up(&self, id: &MachineId) -> bool {
+    /// Returns whether a machine is ready according to its own heartbeats or to its owner's peer heartbeats,
+    /// regardless of its record.
+    fn is_known_ready(&self, id: &MachineId) -> bool {
         self.membership.reported_ready_by_peer(id)
             || self
                 .workers
@@ -243,23 +251,23 @@
                 .is_some_and(WorkerState::fenced)
     }
 
-    /// A name for a request to the cloud that was never used before: by this controller, under this
-    /// lease, with a number.
-    fn cloud_request_name(&self) -> String {
+    /// Returns a unique name for a request to the cloud, made of the controller's name, its lease and a
+    /// sequence number.
+    fn next_cloud_request_name(&self) -> String {
         let lease = self.membership.lease().unwrap_or(0);
-        self.provisioning_errors.next_name(self.me(), lease)
+        self.provisioning_errors.next_request_name(self.me(), lease)
     }
 }
 
-/// Machines of one type and state, for the log.
+/// Number of machines of one type and state, for the log.
 #[derive(Debug, Default)]
 struct MachineCount {
     all: u32,
-    /// Those that are empty or run backfill tasks only.
+    /// Machines that are empty or run only backfill tasks.
     idle: u32,
 }
 
-/// Machines by type, whether spot, and state.
+/// Counts machines by type, spot flag and state.
 fn machine_counts(view: &ClusterState) -> BTreeMap<(&str, bool, &'static str), MachineCount> {
     let mut counts: BTreeMap<_, MachineCount> = BTreeMap::new();
     for (id, record) in &view.machines {
--- a/src/autoscaler/reconciler/garbage_collection.rs
+++ b/src/autoscaler/reconciler/garbage_collection.rs
@@ -1,5 +1,5 @@
-//! What scale-out requests and termination batches leave behind: requests whose machines have records of
-//! their own, and records of machines that are gone.
+//! Garbage collection: deletes answered scale-out requests whose machines have separate records, and
+//! records and termination batches of terminated machines.
 
 use crate::autoscaler::model::{ScaleOutRequest, TerminationBatch};
 use crate::controller::Controller;
@@ -10,12 +10,12 @@
 use crate::wire::state::{Mutation, Precondition, Transaction};
 use crate::wire::to_value;
 
-/// Share of the burst of writes that is left to others when records of terminated machines are deleted:
-/// nobody waits for these, while marking machines (`terminations`) saves money.
-const WRITES_RESERVED: f64 = 0.6;
+/// Share of the write burst that the deletion of records of terminated machines leaves to other writes.
+/// These deletions are never urgent, while marking machines for termination (`terminations`) saves money.
+const RESERVED_WRITE_BURST_SHARE: f64 = 0.6;
 
 impl Controller {
-    /// Closes or shrinks one answered scale-out request.
+    /// Deletes or shrinks one answered scale-out request.
     pub(super) async fn close_scale_out_requests(&self) {
         let transaction = shrink_scale_out_request(&self.watch_cache.view(), self.state_limits());
         if let Some(transaction) = transaction {
@@ -23,11 +23,11 @@
         }
     }
 
-    /// Deletes the records of terminated machines, with writes that nobody else needs.
+    /// Deletes the records of terminated machines with spare write capacity.
     pub(super) async fn delete_terminated_machines(&self) {
         loop {
             let (level, burst) = self.watch_cache.client().write_level();
-            let spare_writes = (level - burst * WRITES_RESERVED) as usize;
+            let spare_writes = (level - burst * RESERVED_WRITE_BURST_SHARE) as usize;
             let deletions = spare_writes.min(self.state_limits().max_mutations);
             if deletions == 0 {
                 return;
@@ -44,18 +44,20 @@
     }
 }
 
-/// The write that deletes or shrinks the first answered scale-out request for which that is possible.
-/// A request is deleted once each of its machines has a record of its own or is gone. Each record must be
-/// there at that moment: a machine named nowhere counts as gone. Where one transaction cannot hold
-/// conditions on all records the request shrinks in steps, and keeps the other names meanwhile.
+/// Returns the transaction that deletes or shrinks the first answered scale-out request for which that is
+/// possible. A request is deleted once each of its machines has a separate record or is terminated. The
+/// transaction requires that the records still exist, since a machine named in neither a record nor a
+/// request counts as terminated. If one transaction cannot hold preconditions on all records, the request
+/// shrinks in several steps and keeps the remaining names.
 pub fn shrink_scale_out_request(view: &ClusterState, limits: StateLimits) -> Option<Transaction> {
     view.scale_out_requests
         .iter()
         .filter(|(_, request)| !request.open())
-        .find_map(|(name, request)| shrink(view, limits, name, request))
+        .find_map(|(name, request)| shrink_request(view, limits, name, request))
 }
 
-fn shrink(
+/// Returns the transaction that deletes or shrinks a request, or `None` if neither is possible yet.
+fn shrink_request(
     view: &ClusterState,
     limits: StateLimits,
     name: &str,
@@ -63,7 +65,7 @@
 ) -> Option<Transaction> {
     let key = keys::scale_out_request(name);
     let mut preconditions = vec![view.precondition(key.as_str())];
-    let mut kept = Vec::new();
+    let mut kept_machines = Vec::new();
     for machine in &request.machines {
         let record_key = keys::machine(machine);
         let version = view.version(&record_key);
@@ -73,19 +75,19 @@
                 key: record_key,
             });
         } else if version > 0 || !view.deleted(&record_key) {
-            kept.push(machine.clone());
+            kept_machines.push(machine.clone());
         }
     }
     let in_steps = request.machines.len() >= limits.preconditions();
     let step_is_full = preconditions.len() == limits.preconditions();
-    let mutation = if kept.is_empty() {
+    let mutation = if kept_machines.is_empty() {
         Mutation::Delete { key }
-    } else if in_steps && step_is_full && kept.len() < request.machines.len() {
-        // Only by full steps: each is a write.
+    } else if in_steps && step_is_full && kept_machines.len() < request.machines.len() {
+        // Shrinks only in full steps, since each step costs a write.
         Mutation::Put {
             key,
             value: to_value(&ScaleOutRequest {
-                machines: kept,
+                machines: kept_machines,
                 ..request.clone()
             }),
             lease: None,
@@ -99,8 +101,8 @@
     })
 }
 
-/// The write that deletes up to `max_deletions` keys: records of terminated machines, and termination
-/// batches of which no record is left. `None` if there is nothing to delete.
+/// Returns the transaction that deletes up to `max_deletions` keys: records of terminated machines, and
+/// termination batches without remaining records. Returns `None` if there is nothing to delete.
 pub fn forget_gone(view: &ClusterState, max_deletions: usize) -> Option<Transaction> {
     let mut transaction = Transaction::default();
     let mutations = &mut transaction.mutations;
@@ -109,8 +111,9 @@
             continue;
         }
         let records_left = delete_records(view, batch, max_deletions, mutations);
-        // As long as a scale-out request names one of the machines, the batch says that it is gone.
-        if records_left || mutations.len() >= max_deletions || named_by_request(view, batch) {
+        // The batch is kept while a scale-out request names one of its machines, since it records that the
+        // machine is terminated.
+        if records_left || mutations.len() >= max_deletions || is_named_by_request(view, batch) {
             continue;
         }
         mutations.push(Mutation::Delete {
@@ -120,7 +123,7 @@
     (!transaction.mutations.is_empty()).then_some(transaction)
 }
 
-/// Adds deletions of a batch's records up to `max_deletions`. True if some are left.
+/// Adds deletions of a batch's records up to `max_deletions`. Returns whether records remain.
 fn delete_records(
     view: &ClusterState,
     batch: &TerminationBatch,
@@ -140,7 +143,8 @@
     false
 }
 
-fn named_by_request(view: &ClusterState, batch: &TerminationBatch) -> bool {
+/// Returns whether a scale-out request names a machine of the batch.
+fn is_named_by_request(view: &ClusterState, batch: &TerminationBatch) -> bool {
     let names_one = |request: &ScaleOutRequest| {
         request
             .machines
--- a/src/autoscaler/reconciler/machine_list.rs
+++ b/src/autoscaler/reconciler/machine_list.rs
@@ -1,7 +1,8 @@
 //! Reconciliation with the cloud's machine list: machines that failed or disappeared are declared lost,
-//! machines without a record are adopted. The list lags and may go back in time.
+//! machines without a record are adopted. The list lags, and a later response may be older than an earlier
+//! one.
 
-use super::{CLOUD_TIMEOUT, LeaderState};
+use super::{CLOUD_REQUEST_TIMEOUT, LeaderState};
 use crate::autoscaler::model::{MachineRecord, MachineState, ScaleOutRequest};
 use crate::autoscaler::put_machine;
 use crate::autoscaler::scale_out::InstanceKind;
@@ -17,44 +18,44 @@
 use http_types::Method;
 use std::collections::BTreeMap;
 
-/// A booting machine is lost once so many lists in a row lack it.
-const LISTS_WITHOUT_MACHINE: u32 = 3;
-/// Added to three times the list's lag: the age from which a list must show a machine.
-const LIST_GRACE: Micros = 10 * SECOND;
+/// Number of consecutive lists without a booting machine after which it is declared lost.
+const LOST_AFTER_UNLISTED_COUNT: u32 = 3;
+/// Time added to three times the list's lag. A machine of this age must be in every list.
+const LIST_GRACE_TIME: Micros = 10 * SECOND;
 
-/// Machines of the list by their names.
+/// Listed machines by name.
 type MachineList = BTreeMap<String, ListedMachine>;
 
-/// A listed machine without a record.
+/// Listed machine without a record.
 struct UnknownMachine {
     name: String,
-    /// Wall-clock time, by the age that the list gives.
+    /// Wall-clock time, computed from the age given in the list.
     provisioned_at: Micros,
 }
 
 impl Controller {
-    /// Reads the list and writes what it changes.
+    /// Reads the machine list, adopts unknown machines and declares failed and missing machines lost.
     pub(super) async fn reconcile_with_machine_list(&self, state: &mut LeaderState) {
         let requested_at = wall();
         let list = match self.read_machine_list().await {
             Ok(list) => list,
             Err(error) => {
-                tracing::info!(%error, "cloud did not answer the request for the machine list");
+                tracing::info!(%error, "cloud request for the machine list failed");
                 return;
             }
         };
-        let settled_after = self.settings.list_lag * 3 + LIST_GRACE;
+        let listed_after = self.settings.list_lag * 3 + LIST_GRACE_TIME;
         state
             .terminated_at
-            .retain(|_, at| requested_at.saturating_sub(*at) < settled_after);
+            .retain(|_, at| requested_at.saturating_sub(*at) < listed_after);
         let (lost, unknown) = {
             let view = self.watch_cache.view();
             let mut lost = failed_machines(&view, &list, &state.terminated_at);
             lost.extend(unlisted_machines(
                 &view,
                 &list,
-                &mut state.times_unlisted,
-                |record| requested_at.saturating_sub(record.rented_at) >= settled_after,
+                &mut state.consecutive_unlisted,
+                |record| requested_at.saturating_sub(record.rented_at) >= listed_after,
             ));
             let unknown = unknown_machines(&view, &list, &state.terminated_at, requested_at);
             (lost, unknown)
@@ -63,7 +64,7 @@
         self.write_lost_machines(&lost).await;
     }
 
-    /// All pages of the list.
+    /// Reads all pages of the machine list.
     async fn read_machine_list(&self) -> Result<MachineList, WireError> {
         let mut list = MachineList::new();
         let mut after = String::new();
@@ -71,7 +72,13 @@
             let path = format!("{MACHINES_PATH}?after={after}&most=500");
             let answer = self
                 .http
-                .call(self.settings.cloud, Method::Get, &path, None, CLOUD_TIMEOUT)
+                .call(
+                    self.settings.cloud,
+                    Method::Get,
+                    &path,
+                    None,
+                    CLOUD_REQUEST_TIMEOUT,
+                )
                 .await;
             let page = answer.and_then(|answer| answer.ok::<Page>())?;
             let Some(last) = page.machines.last().map(|machine| machine.id.clone()) else {
@@ -90,8 +97,8 @@
         }
     }
 
-    /// Writes machines without a record as answered scale-out requests, many with one write: they are paid
-    /// for, so they are used.
+    /// Stores machines without a record as answered scale-out requests, many machines with one write. They
+    /// are charged for, so they are used.
     async fn adopt_unknown_machines(
         &self,
         unknown: BTreeMap<InstanceKind, Vec<UnknownMachine>>,
@@ -108,12 +115,13 @@
                     requested_at: newest.unwrap_or(requested_at),
                     machines: chunk.iter().map(|machine| machine.name.clone()).collect(),
                 };
-                let name = self.cloud_request_name();
+                let name = self.next_cloud_request_name();
                 self.write_scale_out_request(&name, &request).await;
             }
         }
     }
 
+    /// Writes the records of machines declared lost.
     async fn write_lost_machines(&self, lost: &[(MachineId, MachineRecord)]) {
         for chunk in lost.chunks(self.state_limits().max_mutations) {
             let mut transaction = Transaction::default();
@@ -130,14 +138,15 @@
     }
 }
 
-fn lost(record: &MachineRecord) -> MachineRecord {
+/// Returns the record with state `Lost`.
+fn lost_record(record: &MachineRecord) -> MachineRecord {
     MachineRecord {
         state: MachineState::Lost,
         ..record.clone()
     }
 }
 
-/// Machines that the list says have failed.
+/// Returns the machines that have failed according to the list.
 fn failed_machines(
     view: &ClusterState,
     list: &MachineList,
@@ -149,37 +158,38 @@
         })
         .filter_map(|(name, _)| view.machines.get_key_value(name.as_str()))
         .filter(|(_, record)| !matches!(record.state, MachineState::Lost | MachineState::Returning))
-        .map(|(id, record)| (id.clone(), lost(record)))
+        .map(|(id, record)| (id.clone(), lost_record(record)))
         .collect()
 }
 
-/// Machines that were taken while they booted: no heartbeat would ever tell. They are declared lost and
-/// then terminated, which proves that they are gone. As the list may go back, a machine must be old enough
-/// (`must_be_listed`) and missing several times.
+/// Returns the machines that the cloud took back while they were booting, which no missing heartbeat can
+/// reveal. They are declared lost and then terminated, which ensures that they no longer run. Since a list
+/// may be out of date, a machine must be old enough (`must_be_listed`) and missing from several consecutive
+/// lists.
 fn unlisted_machines(
     view: &ClusterState,
     list: &MachineList,
-    times_unlisted: &mut HashMap<MachineId, u32>,
+    consecutive_unlisted: &mut HashMap<MachineId, u32>,
     must_be_listed: impl Fn(&MachineRecord) -> bool,
 ) -> Vec<(MachineId, MachineRecord)> {
     let mut unlisted = Vec::new();
     for (id, record) in &view.machines {
         let booting = record.state == MachineState::Booting;
         if list.contains_key(&**id) || !booting || !must_be_listed(record) {
-            times_unlisted.remove(id);
+            consecutive_unlisted.remove(id);
             continue;
         }
-        let times = times_unlisted.entry(id.clone()).or_default();
-        *times += 1;
-        if *times >= LISTS_WITHOUT_MACHINE {
-            unlisted.push((id.clone(), lost(record)));
+        let count = consecutive_unlisted.entry(id.clone()).or_default();
+        *count += 1;
+        if *count >= LOST_AFTER_UNLISTED_COUNT {
+            unlisted.push((id.clone(), lost_record(record)));
         }
     }
     unlisted
 }
 
-/// Listed machines without a record, by kind. Those whose record was deleted are gone, whatever a list
-/// that lags says.
+/// Returns the listed machines without a record, by instance kind. Machines whose record was deleted are
+/// terminated even if the lagging list still contains them.
 fn unknown_machines(
     view: &ClusterState,
     list: &MachineList,
--- a/src/autoscaler/reconciler/machine_types.rs
+++ b/src/autoscaler/reconciler/machine_types.rs
@@ -1,6 +1,6 @@
-//! Machine types that the cloud offers, kept in the state service for every controller.
+//! Machine types offered by the cloud, stored in the state service for all controllers.
 
-use super::CLOUD_TIMEOUT;
+use super::CLOUD_REQUEST_TIMEOUT;
 use crate::controller::Controller;
 use crate::store::keys;
 use crate::wire::cloud::{MachineType, MachineTypes, TYPES};
@@ -13,12 +13,18 @@
     pub(super) async fn refresh_machine_types(&self) {
         let answer = self
             .http
-            .call(self.settings.cloud, Method::Get, TYPES, None, CLOUD_TIMEOUT)
+            .call(
+                self.settings.cloud,
+                Method::Get,
+                TYPES,
+                None,
+                CLOUD_REQUEST_TIMEOUT,
+            )
             .await;
         let answer = match answer.and_then(|answer| answer.ok::<MachineTypes>()) {
             Ok(answer) => answer,
             Err(error) => {
-                tracing::info!(%error, "cloud did not answer the request for machine types");
+                tracing::info!(%error, "cloud request for machine types failed");
                 return;
             }
         };
@@ -53,7 +59,7 @@
     }
 }
 
-/// Each type that changed in a value of its own, where all do not fit into one.
+/// Returns one write per changed type. Used if the types together exceed the size limit of one value.
 fn changed_types(stored: &[MachineType], offered: &[MachineType]) -> Vec<Mutation> {
     offered
         .iter()
--- a/src/autoscaler/reconciler/scale_out_requests.rs
+++ b/src/autoscaler/reconciler/scale_out_requests.rs
@@ -1,7 +1,8 @@
-//! Scale-out requests: written under a new name before they are sent, and sent under that name until the
-//! cloud has answered, also those of earlier leaders. The cloud gives the same answer to the same name.
+//! Scale-out requests: each is stored under a new name before it is sent, and resent under that name until
+//! the cloud has answered, including requests of earlier leaders. The name makes the request idempotent: the
+//! cloud gives the same answer to the same name.
 
-use super::{CLOUD_TIMEOUT, LeaderState};
+use super::{CLOUD_REQUEST_TIMEOUT, LeaderState};
 use crate::autoscaler::model::ScaleOutRequest;
 use crate::controller::Controller;
 use crate::store::client::TransactionOutcome;
@@ -13,33 +14,35 @@
 use http_types::Method;
 use std::rc::Rc;
 
-/// Machines in one request: one transaction must be able to hold conditions on all their records.
-const MACHINES_PER_REQUEST: usize = 50;
-/// Bytes of a stored request beside the names of its machines.
-const REQUEST_BYTES: usize = 256;
-/// Bytes of a machine's name in a stored request; the cloud's names are far shorter.
-const MACHINE_NAME_BYTES: usize = 24;
-/// How the cloud's answer says that it has no such machine at present.
-const NO_CAPACITY: &str = "no capacity";
+/// Maximum number of machines in one request, so that one transaction can hold preconditions on all their
+/// records.
+const MAX_MACHINES_PER_REQUEST: usize = 50;
+/// Size of a stored request without the names of its machines.
+const REQUEST_OVERHEAD_BYTES: usize = 256;
+/// Upper bound of the size of a machine name in a stored request; the cloud's names are far shorter.
+const MAX_MACHINE_NAME_BYTES: usize = 24;
+/// Text in the cloud's error response if no such machine is currently available.
+const NO_CAPACITY_TEXT: &str = "no capacity";
 
-/// The cloud's answer to a scale-out request.
+/// Outcome of sending a scale-out request to the cloud.
 enum ProvisionOutcome {
-    /// Machines were provisioned, perhaps fewer than asked for.
+    /// Machines were provisioned, possibly fewer than requested.
     Provisioned(Vec<String>),
-    /// Final: there are no such machines at present, or the request is malformed.
+    /// Final: no such machines are currently available, or the request is malformed.
     Refused,
-    /// No answer, or one that is not final: to be sent again.
+    /// No response, or one that is not final: the request is sent again.
     Retry,
 }
 
 impl Controller {
-    /// Machines whose names fit into one stored scale-out request or termination batch.
+    /// Returns the number of machines whose names fit into one stored scale-out request or termination batch.
     pub fn machines_per_request(&self) -> usize {
-        let names = self.value_limit().saturating_sub(REQUEST_BYTES) / MACHINE_NAME_BYTES;
-        names.clamp(1, MACHINES_PER_REQUEST)
+        let names =
+            self.value_limit().saturating_sub(REQUEST_OVERHEAD_BYTES) / MAX_MACHINE_NAME_BYTES;
+        names.clamp(1, MAX_MACHINES_PER_REQUEST)
     }
 
-    /// Writes a scale-out request under a name that is new, if this controller still leads.
+    /// Writes a scale-out request under a new name if this controller is still the leader.
     pub(super) async fn write_scale_out_request(&self, name: &str, request: &ScaleOutRequest) {
         let transaction = {
             let view = self.watch_cache.view();
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Sends every request that is written and not answered, also those of earlier leaders.
+    /// Sends every stored request that is not answered, including those of earlier leaders.
     pub(super) fn execute_scale_out_requests(self: &Rc<Controller>, state: &LeaderState) {
         let unanswered: Vec<(String, ScaleOutRequest)> = {
             let view = self.watch_cache.view();
@@ -94,32 +97,35 @@
         }
     }
 
+    /// Sends one request and writes the cloud's answer.
     async fn execute_scale_out_request(&self, name: &str, request: &ScaleOutRequest) {
         let sent_at = wall();
         let machines = match self.provision(name, request).await {
             ProvisionOutcome::Provisioned(machines) => machines,
             ProvisionOutcome::Refused => {
-                self.provisioning_errors.refuse(request, self.clock.now());
+                self.provisioning_errors
+                    .record_refusal(request, self.clock.now());
                 Vec::new()
             }
             ProvisionOutcome::Retry => return self.sleep(SECOND).await,
         };
         if !machines.is_empty() && machines.len() < request.count as usize {
-            self.provisioning_errors.refuse(request, self.clock.now());
+            self.provisioning_errors
+                .record_refusal(request, self.clock.now());
         }
-        let answered = (!machines.is_empty()).then(|| {
+        let answered_request = (!machines.is_empty()).then(|| {
             to_value(&ScaleOutRequest {
                 machines,
                 requested_at: sent_at,
                 ..request.clone()
             })
         });
-        // If this cannot be written the request is sent again under the same name.
-        self.write_cloud_answer(keys::scale_out_request(name), answered)
+        // If this write fails, the request is sent again under the same name.
+        self.write_cloud_answer(keys::scale_out_request(name), answered_request)
             .await;
     }
 
-    /// Sends one request to the cloud.
+    /// Sends one request to the cloud and classifies the response.
     async fn provision(&self, name: &str, request: &ScaleOutRequest) -> ProvisionOutcome {
         let body = encode(&ProvisionRequest {
             request: name.to_string(),
@@ -136,7 +142,7 @@
                 Method::Post,
                 MACHINES_PATH,
                 Some(body),
-                CLOUD_TIMEOUT,
+                CLOUD_REQUEST_TIMEOUT,
             )
             .await;
         let Ok(answer) = answer else {
@@ -148,13 +154,13 @@
                 .map_or(ProvisionOutcome::Retry, |names| {
                     ProvisionOutcome::Provisioned(names.machines)
                 }),
-            503 if String::from_utf8_lossy(&answer.body).contains(NO_CAPACITY) => {
+            503 if String::from_utf8_lossy(&answer.body).contains(NO_CAPACITY_TEXT) => {
                 ProvisionOutcome::Refused
             }
             400 => {
                 tracing::warn!(
                     request = name,
-                    "cloud refused a scale-out request as malformed"
+                    "cloud rejected a scale-out request as malformed"
                 );
                 ProvisionOutcome::Refused
             }
@@ -162,8 +168,8 @@
         }
     }
 
-    /// Writes what the cloud's final answer means for a request or batch, or deletes it, if its key is as
-    /// the cluster state has it.
+    /// Updates a request or batch after the cloud's final answer, or deletes it if `value` is `None`. The
+    /// precondition is that the key is unchanged since the cluster state in the watch cache.
     pub(super) async fn write_cloud_answer(&self, key: String, value: Option<ciborium::Value>) {
         let preconditions = vec![self.watch_cache.view().precondition(key.as_str())];
         let mutation = match value {
--- a/src/autoscaler/reconciler/terminations.rs
+++ b/src/autoscaler/reconciler/terminations.rs
@@ -1,8 +1,8 @@
-//! Terminations: machines are marked in the state service first, one by one in their records or many in a
-//! termination batch; then they are terminated in the cloud; and only once it has answered 200 are they and
-//! all that ran on them known to be gone.
+//! Terminations: machines are first marked in the state service, individually in their records or together
+//! in a termination batch, and then terminated in the cloud. Only after the cloud has answered 200 are the
+//! machines and all tasks on them considered terminated.
 
-use super::{CLOUD_TIMEOUT, LeaderState};
+use super::{CLOUD_REQUEST_TIMEOUT, LeaderState};
 use crate::autoscaler::model::{MachineRecord, MachineState, TerminationBatch};
 use crate::autoscaler::put_machine;
 use crate::autoscaler::transactions::put_termination_batch;
@@ -17,29 +17,29 @@
 use http_types::Method;
 use std::rc::Rc;
 
-/// Machines that the cloud terminates at most for one request.
-const MACHINES_PER_CLOUD_REQUEST: usize = 100;
-/// Share of the burst of writes that is left to users and placements when machines are marked.
-const WRITES_RESERVED: f64 = 0.3;
-/// Machines marked in each turn of the loop even when writes are short: each one saves money until the day
-/// ends.
-const MARKED_AT_LEAST: usize = 3;
-/// The same where task blocks are packed and need fewer writes.
-const MARKED_AT_LEAST_PACKED: usize = 5;
+/// Maximum number of machines that the cloud terminates for one request.
+const MAX_MACHINES_PER_TERMINATION_REQUEST: usize = 100;
+/// Share of the write burst that marking machines leaves to user requests and placements.
+const RESERVED_WRITE_BURST_SHARE: f64 = 0.3;
+/// Minimum number of machines marked per iteration of the loop, even when write capacity is scarce. Each
+/// machine terminated earlier saves its cost for the rest of the day.
+const MIN_MACHINES_MARKED: usize = 3;
+/// The same minimum while task blocks are stored packed, which needs fewer writes.
+const MIN_MACHINES_MARKED_PACKED: usize = 5;
 
 impl Controller {
-    /// Writes that may go into bookkeeping now: users and placements come first.
+    /// Returns the writes available for marking machines; user requests and placements take precedence.
     fn spare_writes(&self) -> usize {
         let (level, burst) = self.watch_cache.client().write_level();
-        (level - burst * WRITES_RESERVED).max(0.0) as usize
+        (level - burst * RESERVED_WRITE_BURST_SHARE).max(0.0) as usize
     }
 
-    /// Writes a new state into the records of machines, as far as writes can be spared.
+    /// Writes a new state into the records of machines, as far as spare write capacity allows.
     pub(super) async fn write_machine_states(&self, ids: &[MachineId], state: MachineState) {
         for chunk in ids.chunks(self.state_limits().max_mutations) {
-            let chunk = &chunk[..self.states_to_write(chunk.len(), state)];
-            // An empty machine must still be empty. A placement does not change its record, so read what
-            // was written since the decision.
+            let chunk = &chunk[..self.writable_state_count(chunk.len(), state)];
+            // An empty machine must still be empty. A placement does not change the machine's record, so
+            // a linearizable read picks up placements made since the decision.
             let terminating = state == MachineState::Returning;
             if terminating && !self.watch_cache.linearizable_read().await {
                 return;
@@ -55,19 +55,20 @@
         }
     }
 
-    /// How many of so many states may be written now.
-    fn states_to_write(&self, machines: usize, state: MachineState) -> usize {
-        // Capacity that work waits for.
+    /// Returns how many of the given number of machine states may be written now.
+    fn writable_state_count(&self, machines: usize, state: MachineState) -> usize {
+        // Pending work needs this capacity.
         if state == MachineState::Up {
             return machines;
         }
-        let at_least = match self.limits().packed {
-            true => MARKED_AT_LEAST_PACKED,
-            false => MARKED_AT_LEAST,
+        let minimum = match self.limits().packed {
+            true => MIN_MACHINES_MARKED_PACKED,
+            false => MIN_MACHINES_MARKED,
         };
-        self.spare_writes().max(at_least).min(machines)
+        self.spare_writes().max(minimum).min(machines)
     }
 
+    /// Returns the transaction that writes a new state into the records of machines.
     fn machine_states_transaction(&self, ids: &[MachineId], state: MachineState) -> Transaction {
         let view = self.watch_cache.view();
         let mut transaction = Transaction::default();
@@ -78,7 +79,8 @@
             if state == MachineState::Returning && view.tasks_on(id).is_some() {
                 continue;
             }
-            // On condition that the record is unchanged: a placement made meanwhile has the same one.
+            // The precondition is that the record is unchanged: a concurrent placement has the same
+            // precondition.
             let record = MachineRecord {
                 state,
                 ..record.clone()
@@ -88,11 +90,11 @@
         transaction
     }
 
-    /// Marks empty machines for termination, many with one write: when a deployment shrinks, a write for
-    /// each would take longer than the work that is left.
+    /// Marks empty machines for termination, many with one write. When a deployment shrinks, one write per
+    /// machine would take longer than the remaining work.
     pub(super) async fn write_termination_batches(&self, ids: &[MachineId]) {
         for chunk in ids.chunks(self.machines_per_request()) {
-            // They must still be empty, see `write_machine_states`.
+            // The machines must still be empty, see `write_machine_states`.
             if !self.watch_cache.linearizable_read().await {
                 return;
             }
@@ -112,22 +114,22 @@
             if machines.is_empty() {
                 continue;
             }
-            let name = self.cloud_request_name();
+            let name = self.next_cloud_request_name();
             let count = machines.len();
             let batch = TerminationBatch {
                 machines,
                 ..TerminationBatch::default()
             };
-            let unchanged = vec![keys::LEADER.into()];
+            let unchanged_keys = vec![keys::LEADER.into()];
             let transaction =
-                put_termination_batch(&self.watch_cache.view(), &name, &batch, unchanged);
+                put_termination_batch(&self.watch_cache.view(), &name, &batch, unchanged_keys);
             if let TransactionOutcome::Done(_) = self.watch_cache.transaction(&transaction).await {
                 tracing::info!(batch = name, machines = count, "termination batch written");
             }
         }
     }
 
-    /// Executes every batch that the cloud has not answered, also those of earlier leaders.
+    /// Executes every batch that the cloud has not answered, including those of earlier leaders.
     pub(super) fn execute_termination_batches(self: &Rc<Controller>, state: &mut LeaderState) {
         let unanswered: Vec<(String, TerminationBatch)> = {
             let view = self.watch_cache.view();
@@ -155,13 +157,14 @@
         }
     }
 
+    /// Terminates the machines of one batch and writes the cloud's answer.
     async fn execute_termination_batch(&self, name: &str, mut batch: TerminationBatch) {
         let key = keys::termination_batch(name);
         if !self.watch_cache.linearizable_read().await {
             return self.sleep(SECOND / 4).await;
         }
-        // A placement may have been made without knowing of the batch: then that machine stays, and
-        // the smaller batch is written before anything is terminated.
+        // A controller may have placed a task before it received the batch. Such a machine is removed from
+        // the batch, and the smaller batch is written before any machine is terminated.
         let in_use = if batch.declared_dead {
             0
         } else {
@@ -176,14 +179,13 @@
             }
             batch.terminated = true;
         }
-        // If this cannot be written they are terminated once more: the cloud ignores names that it does
-        // not know.
+        // If this write fails, the termination request is sent again: the cloud ignores unknown names.
         self.write_cloud_answer(key, (!batch.machines.is_empty()).then(|| to_value(&batch)))
             .await;
     }
 
-    /// Terminates machines in the cloud. True once it has answered 200: they and all that ran on them
-    /// are gone.
+    /// Terminates machines in the cloud. Returns true if the cloud has answered 200, which means that the
+    /// machines and all tasks on them are terminated.
     async fn terminate(&self, ids: &[MachineId]) -> bool {
         let body = encode(&MachineNames {
             machines: ids.iter().map(|id| id.to_string()).collect(),
@@ -196,13 +198,13 @@
                 Method::Post,
                 TERMINATE_PATH,
                 Some(body),
-                CLOUD_TIMEOUT,
+                CLOUD_REQUEST_TIMEOUT,
             )
             .await;
         answer.is_ok_and(|answer| answer.status == 200)
     }
 
-    /// Terminates machines that are marked in their own records.
+    /// Terminates machines that are marked in their records rather than in a batch.
     pub(super) fn execute_terminations(self: &Rc<Controller>, state: &mut LeaderState) {
         let ids = self.marked_machines(state);
         if ids.is_empty() {
@@ -226,8 +228,8 @@
             .detach();
     }
 
-    /// Machines to terminate with the next request. Lost ones with tasks come first: their tasks can start
-    /// elsewhere once the cloud has answered.
+    /// Returns the machines to terminate with the next request. Lost machines with tasks come first, since
+    /// their tasks can restart on other machines once the cloud has answered.
     fn marked_machines(&self, state: &LeaderState) -> Vec<MachineId> {
         let view = self.watch_cache.view();
         let outstanding = state.outstanding_terminations.borrow();
@@ -245,22 +247,23 @@
         marked
             .into_iter()
             .map(|(_, id)| id)
-            .take(MACHINES_PER_CLOUD_REQUEST)
+            .take(MAX_MACHINES_PER_TERMINATION_REQUEST)
             .collect()
     }
 
+    /// Terminates machines in the cloud and then deletes their records.
     async fn terminate_and_delete_records(&self, ids: &[MachineId]) {
         if !self.terminate(ids).await {
             return self.sleep(SECOND).await;
         }
-        // Records go only now that the machines are gone, those with tasks first: these can start
-        // elsewhere.
+        // Records are deleted only after the machines are terminated. Machines with tasks come first, since
+        // their tasks can then restart on other machines.
         let mut ids = ids.to_vec();
         let has_tasks = |id: &MachineId| self.watch_cache.view().tasks_on(id).is_some();
         ids.sort_by_key(|id| !has_tasks(id));
         while !ids.is_empty() {
-            let urgent = ids.iter().take_while(|id| has_tasks(id)).count();
-            let count = urgent
+            let with_tasks = ids.iter().take_while(|id| has_tasks(id)).count();
+            let count = with_tasks
                 .max(self.spare_writes())
                 .min(self.state_limits().max_mutations)
                 .min(ids.len());
