--- a/crates/base/src/ids.rs
+++ b/crates/base/src/ids.rs
@@ -1,5 +1,5 @@
-//! Ids of jobs and machines: cheap to clone, and compared by two numbers in most cases, because large
-//! clusters compare millions of them per second.
+//! Ids of jobs and machines. Clones are cheap and most comparisons need only two integers, because large clusters
+//! compare millions of ids per second.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Borrow;
@@ -8,13 +8,13 @@
 use std::ops::Deref;
 use std::rc::Rc;
 
-/// Leading bytes of an id that are compared as numbers: two words, which hold most ids.
+/// Leading bytes of an id that are compared as integers: two 64-bit words, which hold most ids.
 const PREFIX_BYTES: usize = 16;
 
-/// An id. Its order, equality and hash are those of its text, so that maps can be searched by text too.
+/// Id of a job or machine. Order, equality and hash are those of its text, so that maps can be looked up by text.
 #[derive(Clone)]
 pub struct Id {
-    /// The first bytes in big-endian order, zeros behind the end of the text.
+    /// First bytes of the text in big-endian order, padded with zeros.
     prefix: [u64; 2],
     text: Rc<str>,
 }
@@ -23,7 +23,7 @@
 pub type MachineId = Id;
 
 impl Id {
-    /// Whether the prefix holds the whole text.
+    /// Returns whether the prefix holds the whole text.
     fn fits_prefix(&self) -> bool {
         self.text.len() <= PREFIX_BYTES
     }
@@ -73,7 +73,8 @@
 
 impl Ord for Id {
     fn cmp(&self, other: &Id) -> Ordering {
-        // A zero byte in a text looks like its end, and a long text goes on behind its prefix.
+        // Texts with equal prefixes may differ: a zero byte in a text is equal to padding, and a long text continues
+        // after its prefix.
         self.prefix.cmp(&other.prefix).then_with(|| {
             if self.fits_prefix() && other.fits_prefix() {
                 self.text.len().cmp(&other.text.len())
@@ -120,7 +121,7 @@
         impl serde::de::Visitor<'_> for IdVisitor {
             type Value = Id;
             fn expecting(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-                formatter.write_str("a name")
+                formatter.write_str("an id")
             }
             fn visit_str<E: serde::de::Error>(self, text: &str) -> Result<Id, E> {
                 Ok(text.into())
--- a/crates/base/src/ids/tests.rs
+++ b/crates/base/src/ids/tests.rs
@@ -1,13 +1,14 @@
-//! Tests of `ids.rs` that need its private parts.
+//! Unit tests of `ids.rs`.
 
 use super::*;
 use proptest::prelude::*;
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
-    /// Maps are searched by text and by id: both must find the same, whatever prefix the texts share.
+    /// Maps are looked up by text and by id. Guards against ids whose order or equality differs from that of their
+    /// texts, e.g. when the texts share a prefix or contain zero bytes.
     #[test]
-    fn ids_are_ordered_as_their_texts(
+    fn id_order_and_equality_match_the_text(
         left in "(aaaaaaaaaaaaaa)?[a\0b]{0,4}",
         right in "(aaaaaaaaaaaaaa)?[a\0b]{0,4}",
     ) {
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the controller shares with other programs: protocol types, HTTP client and server, settings, clocks and
-//! ids. There are no scheduling decisions here.
+//! Code that the controller shares with other programs: protocol types, HTTP client and server, settings, clocks
+//! and ids. It contains no scheduling logic.
 #![forbid(unsafe_code)]
 
 pub mod ids;
--- a/crates/base/src/settings.rs
+++ b/crates/base/src/settings.rs
@@ -1,6 +1,6 @@
-//! Settings of a controller, read once at the start and never changed: their types.
+//! Types of a controller's settings, which are read once at startup and never change.
 //!
-//! `file.rs` has the platform's file as it is written, `check.rs` turns that into these types.
+//! `file.rs` defines the format of the settings file, `check.rs` validates it and converts it to these types.
 
 mod check;
 mod file;
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Why settings or policy cannot be used, in one line for standard error.
+/// Error in the settings or the policy, printed as one line on standard error.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file cannot be read.
@@ -17,7 +17,7 @@
     Read {
         /// Path of the file.
         file: String,
-        /// What is wrong.
+        /// Cause of the error.
         reason: String,
     },
     /// A field of the file is missing, malformed or out of bounds.
@@ -25,9 +25,9 @@
     Field {
         /// Path of the file.
         file: String,
-        /// Field, or place in the file.
+        /// Name of the field, or its position in the file.
         field: String,
-        /// What is wrong.
+        /// Cause of the error.
         reason: String,
     },
 }
@@ -37,11 +37,11 @@
 pub struct Peer {
     /// Name of the controller.
     pub name: String,
-    /// Address at which it listens for controllers.
+    /// Address on which it listens for other controllers.
     pub address: SocketAddr,
 }
 
-/// Quota of a team: guaranteed share and limit, in thousandths of a CPU or GPU; a limit of 0 is none.
+/// Quota of a team: guaranteed resources and limits, in thousandths of a CPU or GPU. A limit of 0 means no limit.
 #[derive(Clone, Debug)]
 pub struct Team {
     /// Name of the team.
@@ -57,39 +57,39 @@
 }
 
 impl Team {
-    /// Whether the team has a limit of CPUs or GPUs.
+    /// Returns whether the team has a limit of CPUs or GPUs.
     pub fn has_limit(&self) -> bool {
         self.cpus_max > 0 || self.gpus_max > 0
     }
 }
 
-/// What a service-level objective measures.
+/// Metric of a service-level objective.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObjectiveKind {
     /// Time from submission until a task starts.
     Wait,
     /// Time from submission until a job is done.
     Finished,
-    /// Time until a job is done, as a multiple of the deadline that its user set.
+    /// Time until a job is done, as a multiple of the deadline set by its user.
     Deadline,
 }
 
 /// A service-level objective of a job class.
 #[derive(Clone, Debug)]
 pub struct Objective {
-    /// What it measures.
+    /// Metric that is measured.
     pub kind: ObjectiveKind,
-    /// Job class to which it applies.
+    /// Job class to which the objective applies.
     pub class: String,
-    /// Time within which a job meets it.
+    /// Time within which a job meets the objective.
     pub within: Micros,
-    /// Share of the jobs that must meet it, from 0 to 1.
+    /// Share of the jobs that must meet the objective, from 0 to 1.
     pub share: f64,
     /// For [`ObjectiveKind::Deadline`]: multiple of the job's own deadline, in thousandths.
     pub times: u64,
 }
 
-/// Preconditions that the state service allows for each mutation of a transaction.
+/// Preconditions that the state service allows per mutation of a transaction.
 const PRECONDITIONS_PER_MUTATION: usize = 4;
 
 /// Limits of the state service.
@@ -97,41 +97,42 @@
 pub struct StateLimits {
     /// Requests per second.
     pub rps: f64,
-    /// Writes per second: each mutation of a transaction counts.
+    /// Writes per second; each mutation of a transaction counts as one write.
     pub write_rps: f64,
     /// Largest value, in bytes of JSON.
     pub max_value_bytes: usize,
-    /// Mutations that a transaction may have.
+    /// Maximum number of mutations in a transaction.
     pub max_mutations: usize,
 }
 
 impl StateLimits {
-    /// Preconditions that a transaction may have: the state service allows a fixed number for each mutation.
+    /// Maximum number of preconditions in a transaction: the state service allows a fixed number for each mutation
+    /// of the largest transaction.
     pub fn preconditions(&self) -> usize {
         self.max_mutations * PRECONDITIONS_PER_MUTATION
     }
 }
 
-/// All settings of a controller, checked.
+/// Validated settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of this controller.
     pub node: String,
-    /// Zone in which it runs.
+    /// Zone in which this controller runs.
     pub zone: String,
-    /// Address at which it listens for users and workers.
+    /// Address on which this controller listens for users and workers.
     pub listen: SocketAddr,
-    /// Address at which it listens for controllers.
+    /// Address on which this controller listens for other controllers.
     pub peer_bind: SocketAddr,
     /// The other controllers.
     pub peers: Vec<Peer>,
-    /// Address of the cloud.
+    /// Address of the cloud API.
     pub cloud: SocketAddr,
     /// Address of the state service.
     pub state: SocketAddr,
     /// Zones of the deployment.
     pub zones: Vec<String>,
-    /// Largest error of any wall clock of the deployment.
+    /// Maximum error of any wall clock in the deployment.
     pub clock_skew: Micros,
     /// Teams with their quotas.
     pub teams: Vec<Team>,
@@ -139,24 +140,24 @@
     pub objectives: Vec<Objective>,
     /// Interval of the workers' heartbeats.
     pub heartbeat_interval: Micros,
-    /// Lease of a worker: it kills its tasks if no heartbeat is answered for this time.
+    /// Lease of a worker: a worker kills its tasks if no heartbeat is answered for this time.
     pub worker_lease: Micros,
-    /// Time for which a worker waits for its gang to be complete.
+    /// Time for which a worker waits until all tasks of a gang are present.
     pub gang_wait: Micros,
-    /// Time within which the tasks of a gang notice that one of them is lost.
+    /// Time within which the tasks of a gang detect the loss of one of them.
     pub gang_peer: Micros,
-    /// Time within which a confirmed cancellation has stopped every task.
+    /// Time within which every task of a job has stopped after its cancellation is confirmed.
     pub cancel_within: Micros,
-    /// Present limits of the state service.
+    /// Current limits of the state service.
     pub state_limits: StateLimits,
-    /// Announced limits where they are lower than the present ones, else the present ones; `None` if none are
+    /// For each limit of the state service the lower of the announced and the current one; `None` if no limits are
     /// announced.
     pub next_state_limits: Option<StateLimits>,
-    /// Requests per second that the cloud allows.
+    /// Requests per second that the cloud API allows.
     pub cloud_rps: f64,
-    /// Time by which the cloud's list of machines may be behind.
+    /// Maximum staleness of the cloud's list of machines.
     pub list_lag: Micros,
-    /// Sockets that this process may have open.
+    /// Maximum number of open sockets of this process.
     pub max_connections: usize,
     /// Share of one CPU that this process may use.
     pub core_share: f64,
@@ -164,13 +165,13 @@
     pub memory_mb: f64,
 }
 
-/// Converts CPUs, GPUs or gigabytes to thousandths, in which the program counts them.
+/// Converts CPUs, GPUs or gigabytes to thousandths, the unit of all resource amounts in the program.
 pub fn milli(amount: f64) -> i64 {
     (amount * 1000.0).round() as i64
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| SettingsError::Read {
@@ -180,12 +181,12 @@
         Settings::parse(&file, &text)
     }
 
-    /// Checks the text of a settings file. `file` is its name, for errors.
+    /// Parses and validates the text of a settings file. `file` is its name in errors.
     pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
         check::settings(file, file::SettingsFile::decode(file, text)?)
     }
 
-    /// A team by name.
+    /// Returns the team with a name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         self.teams.iter().find(|team| team.name == name)
     }
--- a/crates/base/src/settings/check.rs
+++ b/crates/base/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Checks of the settings file: turns its sections into [`Settings`], or says which field cannot be used.
+//! Validation of the settings file: converts its sections to [`Settings`], or reports the invalid field.
 
 use super::file::{
     FileDeployment, FileMachineLimits, FileNextState, FileObjective, FilePeer, FileState, FileTeam,
@@ -8,19 +8,19 @@
 use crate::time::{Micros, from_secs};
 use std::net::SocketAddr;
 
-/// Smallest limit of values, in kilobytes, with which a job's record can be written.
+/// Minimum limit of the value size, in kilobytes: a job record doesn't fit into a smaller value.
 const MIN_VALUE_KB: f64 = 1.0;
-/// Smallest limit of mutations with which a transaction can split a job's record.
+/// Minimum limit of mutations: a transaction that splits a job record needs this number.
 const MIN_MUTATIONS: usize = 4;
-/// Fewest sockets with which a controller can serve and make its own calls.
+/// Minimum number of sockets: a controller needs these to serve requests and to make its own calls.
 const MIN_CONNECTIONS: usize = 16;
 
-/// Checks of fields, which know the name of the file for their errors.
+/// Checks of single fields. Errors contain the name of the file.
 struct Checker<'a> {
     file: &'a str,
 }
 
-/// Turns a decoded file into settings. `file` is its name, for errors.
+/// Converts a decoded file to settings. `file` is its name in errors.
 pub(super) fn settings(file: &str, decoded: SettingsFile) -> Result<Settings, SettingsError> {
     let checker = Checker { file };
     let deployment = decoded.deployment;
@@ -97,7 +97,7 @@
         self.positive(field, seconds).map(from_secs)
     }
 
-    /// Limits by which rates and sizes are divided later.
+    /// Checks that rates and sizes are positive, because other code divides by them.
     fn rates(&self, deployment: &FileDeployment) -> Result<(), SettingsError> {
         let state = &deployment.state;
         for (field, number) in [
@@ -130,7 +130,7 @@
         checked.collect()
     }
 
-    /// The present limits of the state service.
+    /// Converts the current limits of the state service.
     fn state_limits(&self, state: &FileState) -> Result<StateLimits, SettingsError> {
         if state.max_mutations == 0 {
             return Err(self.error("deployment.state.txn_ops", "0 is too few".into()));
@@ -138,17 +138,17 @@
         Ok(StateLimits {
             rps: state.requests_per_s,
             write_rps: state.writes_per_s,
-            max_value_bytes: kilobytes(state.max_value_kb),
+            max_value_bytes: kilobytes_to_bytes(state.max_value_kb),
             max_mutations: state.max_mutations,
         })
     }
 
-    /// The lower of the announced limits and the present ones. With the least limits a job's record and a
-    /// transaction that splits one must be possible.
+    /// Returns the lower of the announced and the current limits. The announced limits must allow a job record and
+    /// a transaction that splits one.
     fn next_state_limits(
         &self,
         next: &FileNextState,
-        present: StateLimits,
+        current: StateLimits,
     ) -> Result<StateLimits, SettingsError> {
         for (field, rate) in [
             ("rps", next.requests_per_s),
@@ -170,24 +170,23 @@
             let reason = format!("fewer than {MIN_MUTATIONS}");
             return Err(self.error("deployment.state.next.txn_ops", reason));
         }
-        let lower = |next: Option<f64>, present: f64| next.unwrap_or(present).min(present);
+        let lower = |next: Option<f64>, current: f64| next.unwrap_or(current).min(current);
         Ok(StateLimits {
-            rps: lower(next.requests_per_s, present.rps),
-            write_rps: lower(next.writes_per_s, present.write_rps),
+            rps: lower(next.requests_per_s, current.rps),
+            write_rps: lower(next.writes_per_s, current.write_rps),
             max_value_bytes: next
                 .max_value_kb
-                .map_or(present.max_value_bytes, kilobytes)
-                .min(present.max_value_bytes),
+                .map_or(current.max_value_bytes, kilobytes_to_bytes)
+                .min(current.max_value_bytes),
             max_mutations: next
                 .max_mutations
-                .unwrap_or(present.max_mutations)
-                .min(present.max_mutations),
+                .unwrap_or(current.max_mutations)
+                .min(current.max_mutations),
         })
     }
 }
 
-/// Kilobytes to bytes.
-fn kilobytes(size: f64) -> usize {
+fn kilobytes_to_bytes(size: f64) -> usize {
     (size * 1024.0) as usize
 }
 
@@ -201,7 +200,7 @@
     }
 }
 
-/// `None` for a kind of objective that this version does not know.
+/// Converts an objective; `None` for a kind that this version does not support.
 fn objective(objective: FileObjective) -> Option<Objective> {
     let kind = match objective.kind.as_str() {
         "wait" => ObjectiveKind::Wait,
--- a/crates/base/src/settings/file.rs
+++ b/crates/base/src/settings/file.rs
@@ -1,9 +1,9 @@
-//! The settings file as it is written: TOML with the platform's names, each mapped once to the field's term.
+//! Format of the settings file: TOML with the platform's field names, each mapped once to a standard term.
 
 use super::SettingsError;
 use serde::Deserialize;
 
-/// The whole file.
+/// Root of the settings file.
 #[derive(Deserialize)]
 pub(super) struct SettingsFile {
     pub(super) node_name: String,
@@ -28,14 +28,14 @@
     pub(super) address: String,
 }
 
-/// `[outside]`: addresses of the services that a controller uses.
+/// `[outside]`: addresses of the external services that a controller uses.
 #[derive(Deserialize)]
 pub(super) struct FileOutside {
     pub(super) cloud: String,
     pub(super) state: String,
 }
 
-/// `[deployment]`: what all controllers share.
+/// `[deployment]`: settings that are the same for all controllers.
 #[derive(Deserialize)]
 pub(super) struct FileDeployment {
     #[serde(default)]
@@ -82,7 +82,7 @@
     pub(super) times: Option<f64>,
 }
 
-/// `[deployment.workers]`: timing of the workers, in seconds.
+/// `[deployment.workers]`: intervals and timeouts of the workers, in seconds.
 #[derive(Deserialize)]
 pub(super) struct FileWorkers {
     #[serde(rename = "report_s")]
@@ -110,7 +110,7 @@
     pub(super) next: Option<FileNextState>,
 }
 
-/// `[deployment.state.next]`: announced limits; what is left out stays.
+/// `[deployment.state.next]`: announced limits; a limit that is absent stays as it is.
 #[derive(Deserialize)]
 pub(super) struct FileNextState {
     #[serde(rename = "rps")]
@@ -123,7 +123,7 @@
     pub(super) max_mutations: Option<usize>,
 }
 
-/// `[deployment.cloud]`: limits of the cloud.
+/// `[deployment.cloud]`: limits of the cloud API.
 #[derive(Deserialize)]
 pub(super) struct FileCloud {
     #[serde(rename = "rps")]
@@ -131,7 +131,7 @@
     pub(super) list_lag_s: f64,
 }
 
-/// `[deployment.machine_limits]`: what this process may use.
+/// `[deployment.machine_limits]`: resources that this process may use.
 #[derive(Deserialize)]
 pub(super) struct FileMachineLimits {
     #[serde(default)]
@@ -144,18 +144,18 @@
 }
 
 impl SettingsFile {
-    /// Decodes the text of a settings file. `file` is its name, for errors.
+    /// Decodes the text of a settings file. `file` is its name in errors.
     pub(super) fn decode(file: &str, text: &str) -> Result<SettingsFile, SettingsError> {
         toml::from_str(text).map_err(|error| SettingsError::Field {
             file: file.into(),
-            field: error_place(text, &error),
+            field: error_position(text, &error),
             reason: error.message().replace('\n', " "),
         })
     }
 }
 
-/// The field and line at which decoding failed, as far as the error says.
-fn error_place(text: &str, error: &toml::de::Error) -> String {
+/// Returns the field and line at which decoding failed, as far as the error contains them.
+fn error_position(text: &str, error: &toml::de::Error) -> String {
     let line = error
         .span()
         .map(|span| text[..span.start.min(text.len())].matches('\n').count() + 1);
