--- a/crates/base/src/wire/client.rs
+++ b/crates/base/src/wire/client.rs
@@ -1,6 +1,6 @@
-//! HTTP client: a pool of persistent connections per address, and a timeout on every call.
+//! HTTP client with a pool of persistent connections per address and a timeout on every call.
 //!
-//! The pool belongs to one controller and is changed by calls alone. Requests are never sent twice.
+//! The pool belongs to one controller and only its calls change it. A request is never sent twice.
 
 use super::WireError;
 use crate::time::{Micros, to_duration};
@@ -13,16 +13,16 @@
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 
-/// An answer: status and body.
+/// HTTP response: status and body.
 pub struct ClientResponse {
     /// HTTP status.
     pub status: u16,
-    /// The body as it came.
+    /// Body, not decoded.
     pub body: Vec<u8>,
 }
 
 impl ClientResponse {
-    /// The body decoded, if the status is 200.
+    /// Decodes the body if the status is 200; any other status is an error.
     pub fn ok<T: serde::de::DeserializeOwned>(&self) -> Result<T, WireError> {
         if self.status == 200 {
             super::decode(&self.body)
@@ -32,7 +32,7 @@
     }
 }
 
-/// A pool of connections.
+/// HTTP client with its connection pool.
 pub struct Client {
     idle: RefCell<HashMap<SocketAddr, Vec<TcpStream>>>,
     idle_count: Cell<usize>,
@@ -40,7 +40,7 @@
     max_connections: usize,
 }
 
-/// Counts a call for as long as it goes on.
+/// Counts a call as in progress until it is dropped.
 struct InUseGuard<'a>(&'a Cell<usize>);
 
 impl<'a> InUseGuard<'a> {
@@ -56,13 +56,13 @@
     }
 }
 
-/// POSIX error number: the system has no file descriptor left.
+/// POSIX error number: the open file limit of the system is reached.
 const ENFILE: i32 = 23;
-/// POSIX error number: this process has no file descriptor left.
+/// POSIX error number: the open file limit of this process is reached.
 const EMFILE: i32 = 24;
 
-/// Why a connection could not be made. That this process or its machine has no file descriptor left
-/// says nothing about the other side.
+/// Converts an error of a connection attempt. If this process or its machine has no file descriptor left, the error
+/// is a separate one, because it says nothing about the remote host.
 fn connect_error(error: &std::io::Error) -> WireError {
     match error.raw_os_error() {
         Some(ENFILE | EMFILE) => WireError::Sockets,
@@ -74,16 +74,16 @@
     WireError::Connection(error.to_string())
 }
 
-/// Idle connections kept to one address; calls that need more at a time open new ones.
+/// Maximum number of idle connections kept per address; further concurrent calls open new ones.
 const MAX_IDLE_PER_ADDRESS: usize = 4;
 
-/// Initial capacity for an encoded request: most heads with their bodies fit.
+/// Initial capacity of the buffer for an encoded request: most requests fit, head and body together.
 const REQUEST_BUFFER_BYTES: usize = 512;
 
 impl Client {
-    /// A pool that keeps idle connections as long as there are at most `max_connections` together
-    /// with those in use: a controller that serves every machine has one connection from each
-    /// already, and the platform limits the number of sockets.
+    /// Creates a client that keeps idle connections while they and those in use are at most `max_connections`
+    /// together: a controller that serves every machine already has one inbound connection from each, and the
+    /// platform limits the number of sockets.
     pub fn new(max_connections: usize) -> Client {
         Client {
             idle: RefCell::default(),
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Sends one request and reads its answer within `timeout`. The caller must treat every error as
-    /// "may have been carried out, or may yet be".
+    /// Sends one request and reads its response within `timeout`. After an error the request may have been carried
+    /// out, or may still be carried out later; callers must allow for both.
     pub async fn call(
         &self,
         address: SocketAddr,
@@ -131,12 +131,12 @@
         Ok(response)
     }
 
-    /// An idle connection that the other side has not closed meanwhile. Nothing is ever sent twice:
-    /// a first copy that seems lost may still be carried out, much later.
+    /// Takes an idle connection that the remote host has not closed. This check replaces a retry on a new
+    /// connection: a request is never sent twice, because a copy that seems lost may still be carried out much later.
     async fn take_open_idle(&self, address: SocketAddr) -> Option<TcpStream> {
         while let Some(stream) = self.take_idle(address) {
             let mut byte = [0u8; 1];
-            // Readable without a request means closed, or an answer that nobody asked for.
+            // Readable before a request was sent: the remote host closed it or sent an unsolicited response.
             let readable = futures_lite::future::poll_once(stream.peek(&mut byte)).await;
             if readable.is_none() {
                 return Some(stream);
@@ -151,7 +151,7 @@
         Some(stream)
     }
 
-    /// Opens a connection. Those in use and idle together stay below the limit: idle ones are closed.
+    /// Opens a connection. Closes idle connections while those in use and idle together exceed the limit.
     async fn connect(&self, address: SocketAddr) -> Result<TcpStream, WireError> {
         while self.idle_count.get() > 0
             && self.idle_count.get() + self.in_use_count.get() > self.max_connections
@@ -161,12 +161,12 @@
         let stream = TcpStream::connect(address)
             .await
             .map_err(|error| connect_error(&error))?;
-        // Without it small messages only take longer.
+        // Failure is ignored: small messages only take longer without TCP_NODELAY.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
 
-    /// Keeps a connection for the next call if the limits allow it.
+    /// Keeps a connection for later calls if the limits allow it.
     fn put_idle(&self, address: SocketAddr, stream: TcpStream) {
         let mut idle = self.idle.borrow_mut();
         let streams = idle.entry(address).or_default();
@@ -178,15 +178,15 @@
         }
     }
 
-    /// Calls in progress.
+    /// Returns the number of calls in progress.
     pub fn used(&self) -> usize {
         self.in_use_count.get()
     }
 
     fn close_one_idle(&self) {
         let mut idle = self.idle.borrow_mut();
-        let with_idle = idle.iter().find(|(_, streams)| !streams.is_empty());
-        let Some(address) = with_idle.map(|(address, _)| *address) else {
+        let non_empty = idle.iter().find(|(_, streams)| !streams.is_empty());
+        let Some(address) = non_empty.map(|(address, _)| *address) else {
             self.idle_count.set(0);
             return;
         };
@@ -199,7 +199,7 @@
         self.idle_count.set(self.idle_count.get() - 1);
     }
 
-    /// Closes the idle connections to an address, e.g. after it stopped answering.
+    /// Closes the idle connections to an address, e.g. after it stopped responding.
     pub fn forget(&self, address: SocketAddr) {
         if let Some(streams) = self.idle.borrow_mut().remove(&address) {
             self.idle_count.set(self.idle_count.get() - streams.len());
@@ -207,7 +207,7 @@
     }
 }
 
-/// The bytes of a request.
+/// Encodes a request as HTTP/1.1.
 async fn encode_request(
     address: SocketAddr,
     method: Method,
@@ -228,7 +228,7 @@
     Ok(bytes)
 }
 
-/// Sends an encoded request and reads its whole answer. Also gives whether the connection stays open.
+/// Sends an encoded request and reads the whole response. Also returns whether the connection stays open.
 async fn send_request(
     stream: &TcpStream,
     request: &[u8],
--- a/crates/base/src/wire/client/tests.rs
+++ b/crates/base/src/wire/client/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `wire/client.rs` that need its private parts.
+//! Unit tests of `wire/client.rs`.
 
 use super::*;
 use crate::time::SECOND;
@@ -7,10 +7,10 @@
 use async_net::TcpListener;
 use std::rc::Rc;
 
-/// A controller that calls one machine after the other keeps to its share of the sockets: idle
-/// connections are closed for those that it needs.
+/// Calls more addresses than the connection limit allows. Guards against a pool that exceeds the controller's share
+/// of the sockets in place of closing idle connections before it opens a new one.
 #[test]
-fn idle_connections_make_way() {
+fn idle_connections_are_closed_at_the_connection_limit() {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(async {
         let client = Client::new(2);
@@ -25,7 +25,7 @@
             assert_eq!(response.expect("answer").status, 200);
             assert!(
                 client.idle_count.get() >= 1,
-                "the next call there needs no new one"
+                "the connection is kept for the next call to its address"
             );
             assert!(client.idle_count.get() <= 2);
             assert_eq!(client.used(), 0);
@@ -33,10 +33,10 @@
     }));
 }
 
-/// That we have no socket left says nothing about a machine; taken for its silence, two of these
-/// declared it dead with all that runs there.
+/// Guards against counting a lack of local file descriptors as an unreachable machine: two such errors declared a
+/// machine dead together with all tasks on it.
 #[test]
-fn no_socket_is_told_from_no_answer() {
+fn file_descriptor_exhaustion_differs_from_connection_errors() {
     let error_of = |code| connect_error(&std::io::Error::from_raw_os_error(code));
     assert!(matches!(error_of(24), WireError::Sockets));
     assert!(matches!(error_of(23), WireError::Sockets));
--- a/crates/base/src/wire/server.rs
+++ b/crates/base/src/wire/server.rs
@@ -1,5 +1,5 @@
-//! HTTP server: one loop per connection on async-h1's decoder and encoder, with timeouts for heads,
-//! bodies and answers, and a limit of open connections. Its only state is the connection gauge.
+//! HTTP server: one loop per connection on async-h1's decoder and encoder, with timeouts for request heads, request
+//! bodies and responses, and a limit of open connections. Its only state is the connection gauge.
 
 use super::MAX_BODY_BYTES;
 use crate::time::{Micros, SECOND, to_duration};
@@ -14,28 +14,28 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// A request as handlers get it.
+/// HTTP request that is passed to a handler.
 pub struct Request {
     /// HTTP method.
     pub method: Method,
-    /// The path, without the query.
+    /// Path without the query.
     pub path: String,
-    /// The body; `None` if it is over the limit.
+    /// Body; `None` if it exceeds the size limit.
     pub body: Option<Vec<u8>>,
 }
 
-/// An answer as handlers give it.
+/// HTTP response that a handler returns.
 pub struct Response {
     /// HTTP status.
     pub status: u16,
-    /// Encoded body, CBOR unless it goes to a peer.
+    /// Encoded body: CBOR, or MessagePack for a peer.
     pub body: Vec<u8>,
-    /// `Retry-After`: seconds after which the client may ask again.
+    /// `Retry-After`: seconds after which the client may retry.
     pub retry_after: Option<u64>,
 }
 
 impl Response {
-    /// A status with a body.
+    /// Creates a response with a CBOR body.
     pub fn with<T: serde::Serialize>(status: u16, body: &T) -> Response {
         Response {
             status,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A status without a body.
+    /// Creates a response without a body.
     pub fn status(status: u16) -> Response {
         Response {
             status,
@@ -53,13 +53,13 @@
         }
     }
 
-    /// An error status with its reason, for a person to read.
+    /// Creates an error response with a human-readable reason.
     pub fn refusal(status: u16, reason: &str) -> Response {
         let error = reason.to_string();
         Response::with(status, &super::ErrorBody { error })
     }
 
-    /// An error that passes: the client may ask again after so many seconds.
+    /// Creates the response for a transient error: the client may retry after `seconds`.
     pub fn retry_later(status: u16, seconds: u64) -> Response {
         Response {
             status,
@@ -69,21 +69,21 @@
     }
 }
 
-/// Connections that send no request for this time are closed: far longer than the interval of heartbeats, so
-/// that workers keep theirs.
+/// Time without a request after which a connection is closed: far longer than the heartbeat interval, so that
+/// workers keep their connections.
 const IDLE_TIMEOUT: Micros = 75 * SECOND;
-/// A connection whose request body does not arrive in this time is closed.
+/// Time within which a request body must arrive; otherwise the connection is closed.
 const BODY_TIMEOUT: Micros = 5 * SECOND;
-/// A connection whose client does not take its answer in this time is closed.
+/// Time within which a client must accept a response; otherwise the connection is closed.
 const WRITE_TIMEOUT: Micros = 5 * SECOND;
-/// Pause after `accept` failed, most likely for want of file descriptors.
-const ACCEPT_RETRY: Micros = SECOND / 20;
-/// Refused connections are logged at most once in this time.
+/// Delay after a failed `accept`, which most likely lacked file descriptors.
+const ACCEPT_RETRY_DELAY: Micros = SECOND / 20;
+/// Minimum interval between log lines about refused connections.
 const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(30);
-/// Initial capacity for an encoded answer: most heads with their bodies fit.
+/// Initial capacity of the buffer for an encoded response: most responses fit, head and body together.
 const RESPONSE_BUFFER_BYTES: usize = 512;
 
-/// Counts open connections against the limit of sockets. Servers that share the limit share a gauge.
+/// Number of open connections, compared with the limit of sockets. Servers that share the limit share a gauge.
 #[derive(Default)]
 pub struct ConnectionGauge {
     open: Cell<usize>,
@@ -92,7 +92,7 @@
 }
 
 impl ConnectionGauge {
-    /// Counts a connection if there are fewer than `max_connections`; it counts until the permit is dropped.
+    /// Counts a connection as open until the permit is dropped; `None` if `max_connections` are open already.
     fn open(self: &Rc<Self>, max_connections: usize) -> Option<ConnectionPermit> {
         if self.open.get() >= max_connections {
             return None;
@@ -101,8 +101,8 @@
         Some(ConnectionPermit(self.clone()))
     }
 
-    /// Counts a refused connection, and logs from time to time how many there were.
-    fn refuse(&self, max_connections: usize) {
+    /// Counts a refused connection, and logs the number of refused ones at most once per interval.
+    fn record_refusal(&self, max_connections: usize) {
         self.refused.set(self.refused.get() + 1);
         let logged_at = self.refusal_logged_at.get();
         if logged_at.is_none_or(|at| at.elapsed() >= REFUSAL_LOG_INTERVAL) {
@@ -117,7 +117,7 @@
     }
 }
 
-/// One open connection in the gauge.
+/// Open connection that the gauge counts until this is dropped.
 struct ConnectionPermit(Rc<ConnectionGauge>);
 
 impl Drop for ConnectionPermit {
@@ -126,8 +126,8 @@
     }
 }
 
-/// Accepts connections for ever and answers each request by `handle`. Connections beyond
-/// `max_connections` of the gauge are closed at once.
+/// Accepts connections in an endless loop and answers each request with `handle`. Connections beyond
+/// `max_connections` of the gauge are closed immediately.
 pub async fn serve<F, Fut>(
     executor: Rc<LocalExecutor<'static>>,
     listener: TcpListener,
@@ -143,14 +143,14 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 tracing::warn!(%error, "cannot accept a connection");
-                Timer::after(to_duration(ACCEPT_RETRY)).await;
+                Timer::after(to_duration(ACCEPT_RETRY_DELAY)).await;
                 continue;
             }
         };
-        // The platform limits the number of sockets; some are kept for our own calls.
+        // The platform limits the number of sockets; some are reserved for outbound calls.
         let Some(permit) = gauge.open(max_connections) else {
             drop(stream);
-            gauge.refuse(max_connections);
+            gauge.record_refusal(max_connections);
             continue;
         };
         let handle = handle.clone();
@@ -163,13 +163,13 @@
     }
 }
 
-/// Answers the requests of one connection until either side closes it.
+/// Answers the requests of a connection until the client or the server closes it.
 async fn serve_connection<F, Fut>(mut stream: TcpStream, handle: F)
 where
     F: Fn(Request) -> Fut,
     Fut: Future<Output = Response>,
 {
-    // Without it small messages only take longer.
+    // Failure is ignored: small messages only take longer without TCP_NODELAY.
     let _ = stream.set_nodelay(true);
     while let Some(ReceivedRequest { request, close }) = read_request(&mut stream).await {
         let method = request.method;
@@ -181,13 +181,14 @@
     }
 }
 
-/// A request, and whether its connection is closed after the answer.
+/// Request, and whether its connection is closed after the response.
 struct ReceivedRequest {
     request: Request,
     close: bool,
 }
 
-/// The next request of a connection; `None` if the connection is to be closed without an answer.
+/// Reads the next request of a connection; `None` if the connection must be closed. A request with a malformed head
+/// is answered with status 400 here.
 async fn read_request(stream: &mut TcpStream) -> Option<ReceivedRequest> {
     let head = decode(stream.clone())
         .or(async {
@@ -209,7 +210,7 @@
         .header("connection")
         .is_some_and(|value| value.as_str().eq_ignore_ascii_case("close"));
     let body = read_body(&mut head).await.ok()?;
-    // What is left of a body over the limit is not read.
+    // The rest of a body that exceeds the size limit is not read, so the connection can't be reused.
     let close = close || body.is_none();
     Some(ReceivedRequest {
         request: Request { method, path, body },
@@ -217,7 +218,7 @@
     })
 }
 
-/// The body of a request; `None` if it is over the limit. Fails if it is cut short or late.
+/// Reads the body of a request; `None` if it exceeds the size limit. Fails if the body is truncated or late.
 async fn read_body(head: &mut http_types::Request) -> std::io::Result<Option<Vec<u8>>> {
     let declared_length = head.len();
     if declared_length.is_some_and(|length| length > MAX_BODY_BYTES) {
