--- a/src/cli/arguments.rs
+++ b/src/cli/arguments.rs
@@ -1,5 +1,5 @@
-//! Grammar of the command line. Owns no state; the names of commands and topics are an interface to
-//! operators' scripts, so a replaced name stays as a hidden alias.
+//! Grammar of the command line. Operators' scripts depend on the names of commands and topics, so a replaced name
+//! stays as a hidden alias. This module has no state.
 
 use clap::{Parser, Subcommand, ValueEnum};
 use std::net::SocketAddr;
@@ -15,13 +15,13 @@
     /// The operators' policy script.
     #[arg(long)]
     pub policy: Option<PathBuf>,
-    /// What to do; without it `--config` runs a controller.
+    /// Command to run; without a command, `--config` runs a controller.
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
 impl Arguments {
-    /// The command that was given; `--config` alone means `serve`. `None` if there is neither.
+    /// Returns the command; `--config` without a command means `serve`. `None` if both are absent.
     pub fn into_command(self) -> Option<Command> {
         let Arguments {
             config,
@@ -32,7 +32,7 @@
     }
 }
 
-/// What the program can be asked to do.
+/// Commands of the program.
 #[derive(Subcommand, Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Run a controller.
@@ -44,7 +44,7 @@
         #[arg(long)]
         policy: Option<PathBuf>,
     },
-    /// Check settings and policy, and say what is wrong.
+    /// Check settings and policy, and report errors.
     Check {
         /// The platform's settings file.
         #[arg(long)]
@@ -58,7 +58,7 @@
         /// A controller's address for users.
         #[arg(long)]
         node: SocketAddr,
-        /// The file; `-` is standard input.
+        /// Path of the file; `-` is standard input.
         file: PathBuf,
     },
     /// Show a job.
@@ -78,12 +78,12 @@
         /// Job id.
         id: String,
     },
-    /// Show the state that a running controller holds.
+    /// Show the state of a running controller.
     Inspect {
         /// A controller's address for controllers.
         #[arg(long)]
         node: SocketAddr,
-        /// What to show.
+        /// Topic to show.
         #[arg(value_enum)]
         topic: InspectTopic,
         /// With `jobs`: why this job is pending. Without it: pending jobs and tasks of each team, by
@@ -92,7 +92,7 @@
     },
 }
 
-/// What `inspect` can show.
+/// Topics of `inspect`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum InspectTopic {
     /// Controllers that hold a membership lease, and the leader.
@@ -116,7 +116,7 @@
 }
 
 impl InspectTopic {
-    /// The HTTP path that answers. The paths keep their names across versions.
+    /// Returns the HTTP path of the topic. The paths are the same in all versions.
     pub fn path(self) -> &'static str {
         match self {
             InspectTopic::Members => "/inspect/members",
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,28 +1,28 @@
-//! Failures of a command and the exit code of each.
+//! Errors of commands and their exit codes.
 
 use crate::settings::SettingsError;
 use crate::wire::WireError;
 
-/// Exit code of a command that was understood but failed.
+/// Exit code of a valid command that failed.
 pub const EXIT_FAILURE: u8 = 1;
-/// Exit code for settings or a policy that cannot be used.
+/// Exit code for invalid settings or an invalid policy.
 pub const EXIT_INVALID_SETTINGS: u8 = 2;
-/// Exit code for a command line that names nothing to do (`EX_USAGE` of sysexits.h).
+/// Exit code for a command line without a valid command (`EX_USAGE` of sysexits.h).
 pub const EXIT_USAGE: u8 = 64;
 
-/// Why a command failed: one line for standard error.
+/// Error of a command, printed as one line on standard error.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The command line parses but makes no sense.
+    /// The command line can be parsed but its combination of arguments is invalid.
     #[error("{0}")]
     Usage(&'static str),
-    /// Settings or policy cannot be used.
+    /// Settings or policy are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The job description cannot be read.
     #[error("{file}: {source}")]
     ReadJob {
-        /// The file as it was given.
+        /// File argument of the command.
         file: String,
         /// Cause.
         source: std::io::Error,
@@ -30,29 +30,29 @@
     /// The job description is not JSON.
     #[error("{file}: {source}")]
     ParseJob {
-        /// The file as it was given.
+        /// File argument of the command.
         file: String,
         /// Cause.
         source: serde_json::Error,
     },
-    /// The controller answered with an error status.
+    /// The controller responded with an error status.
     #[error("status {status}: {reason}")]
     Rejected {
         /// HTTP status.
         status: u16,
-        /// The controller's reason, or what the status means.
+        /// Reason in the response, or else an explanation of the status.
         reason: String,
     },
-    /// The controller could not be asked, or did not answer in time.
+    /// The request could not be sent, or the controller did not respond in time.
     #[error(transparent)]
     Request(#[from] WireError),
-    /// A controller could not start to serve.
+    /// The controller could not start serving.
     #[error(transparent)]
     Serve(#[from] std::io::Error),
 }
 
 impl CommandError {
-    /// The exit code of the process.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             CommandError::Usage(_) => EXIT_USAGE,
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! Command line: parses the arguments, runs one command and turns its result into an exit code.
+//! Command line: parses the arguments, runs one command and converts its result to an exit code.
 
 mod arguments;
 mod error;
@@ -63,7 +63,7 @@
     Ok(())
 }
 
-/// Log lines go to standard error; `LOG_LEVEL` sets the least severe level, `INFO` without it.
+/// Writes log lines to standard error. `LOG_LEVEL` sets the least severe level that is logged, by default `INFO`.
 fn start_logging() {
     let level = std::env::var("LOG_LEVEL")
         .ok()
--- a/src/cli/request.rs
+++ b/src/cli/request.rs
@@ -1,4 +1,4 @@
-//! Commands that ask a running controller over HTTP and print its answer as JSON.
+//! Commands that send a request to a running controller over HTTP and print the response as JSON.
 
 use super::arguments::InspectTopic;
 use super::error::CommandError;
@@ -11,24 +11,24 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Time for an answer: longer than any controller takes to answer a user, short enough for a person.
+/// Timeout of a request: longer than a controller takes to answer a user, and short enough for interactive use.
 const REQUEST_TIMEOUT: Micros = 5 * SECOND;
 
 /// Submits the job that a JSON file describes; `-` is standard input.
 pub(super) fn submit(node: SocketAddr, file: &Path) -> Result<(), CommandError> {
-    let name = || file.display().to_string();
+    let file_name = || file.display().to_string();
     let text = if file.as_os_str() == "-" {
         std::io::read_to_string(std::io::stdin())
     } else {
         std::fs::read_to_string(file)
     };
     let text = text.map_err(|source| CommandError::ReadJob {
-        file: name(),
+        file: file_name(),
         source,
     })?;
     let job = serde_json::from_str::<serde_json::Value>(&text).map_err(|source| {
         CommandError::ParseJob {
-            file: name(),
+            file: file_name(),
             source,
         }
     })?;
@@ -46,7 +46,7 @@
     send(node, Method::Post, &path, Some(Vec::new()))
 }
 
-/// Shows what a controller holds about a topic.
+/// Shows the state of a controller for a topic.
 pub(super) fn inspect(
     node: SocketAddr,
     topic: InspectTopic,
@@ -68,7 +68,7 @@
     format!("/api/jobs/{id}")
 }
 
-/// What a status without a reason means to whoever asked.
+/// Explains an error status whose response contains no reason.
 fn status_meaning(status: u16) -> &'static str {
     match status {
         404 => "nobody submitted this, or there is no such page",
@@ -78,7 +78,7 @@
     }
 }
 
-/// Sends one request and prints the answer if it is a success.
+/// Sends one request and prints the response if its status is a success.
 fn send(
     node: SocketAddr,
     method: Method,
@@ -99,7 +99,7 @@
     Err(CommandError::Rejected { status, reason })
 }
 
-/// A CBOR body as indented JSON, if it is one.
+/// Converts a CBOR body to indented JSON; `None` if it is not CBOR.
 fn as_json(body: &[u8]) -> Option<String> {
     let value = decode::<Value>(body).ok()?;
     serde_json::to_string_pretty(&value).ok()
