--- a/benches/growth.rs
+++ b/benches/growth.rs
@@ -1,6 +1,6 @@
-//! How the cost of what a controller does grows with the fleet: `cargo bench`. Machines carry 20 tasks
-//! each and are full with them; one in ten is empty, and arrays for a tenth of the fleet wait. Compare
-//! the rows of one bench with each other, not with those of another machine.
+//! Benchmarks of the cost of a controller's operations as a function of cluster size: `cargo bench`. Each machine in
+//! use is full with 20 tasks; one machine in ten is empty, and arrays for a tenth of the cluster are pending. Compare
+//! the rows of one benchmark with each other, not with results from other hardware.
 
 use coppergw::autoscaler::model::{MachineRecord, MachineState};
 use coppergw::autoscaler::{CapacityForecast, decide};
@@ -22,17 +22,18 @@
 use divan::Bencher;
 use foldhash::HashMap;
 
-const SIZES: [usize; 3] = [1_000, 4_000, 16_000];
-/// Tasks on each machine that is in use.
-const TASKS: usize = 20;
-/// Tasks of one job.
-const JOB: usize = 200;
+/// Cluster sizes, in machines.
+const MACHINE_COUNTS: [usize; 3] = [1_000, 4_000, 16_000];
+/// Number of tasks on each machine in use.
+const TASKS_PER_MACHINE: usize = 20;
+/// Number of tasks of each job.
+const TASKS_PER_JOB: usize = 200;
 
 fn main() {
     divan::main();
 }
 
-fn kind() -> MachineType {
+fn machine_type() -> MachineType {
     MachineType {
         name: "t".into(),
         cpus: 16.0,
@@ -47,7 +48,7 @@
     }
 }
 
-fn spec(job: usize, tasks: usize, cpus: i64) -> JobSpec {
+fn job_spec(job: usize, tasks: usize, cpus: i64) -> JobSpec {
     JobSpec {
         class: "c".into(),
         team: "team".into(),
@@ -76,7 +77,7 @@
     }
 }
 
-fn host_name(n: usize) -> String {
+fn machine_name(n: usize) -> String {
     format!("m-{n:06}")
 }
 
@@ -84,81 +85,86 @@
     format!("req-{n:06}")
 }
 
-/// What the state service holds, key by key.
-fn keys_of_fleet(machines: usize, empty: usize) -> Vec<(String, ciborium::Value)> {
-    let mut out = vec![(keys::TYPES.to_string(), to_value(&vec![kind()]))];
-    for n in 0..machines {
-        let h = MachineRecord {
+/// Returns the keys and values in the state service.
+fn stored_values(machine_count: usize, empty_count: usize) -> Vec<(String, ciborium::Value)> {
+    let mut values = vec![(keys::TYPES.to_string(), to_value(&vec![machine_type()]))];
+    for index in 0..machine_count {
+        let machine = MachineRecord {
             machine_type: "t".into(),
             zone: "z".into(),
-            spot: n % 3 == 0,
+            spot: index % 3 == 0,
             address: Some("10.0.0.1:9000".into()),
             session: 1,
             state: MachineState::Up,
             rented_at: 0,
         };
-        out.push((keys::machine(&host_name(n)), to_value(&h)));
+        values.push((keys::machine(&machine_name(index)), to_value(&machine)));
     }
-    let used = machines - empty;
-    let jobs = used * TASKS / JOB;
-    for j in 0..jobs {
-        let slots = (0..JOB)
-            .map(|i| {
+    let used_machine_count = machine_count - empty_count;
+    let full_job_count = used_machine_count * TASKS_PER_MACHINE / TASKS_PER_JOB;
+    for job in 0..full_job_count {
+        let tasks = (0..TASKS_PER_JOB)
+            .map(|task| {
                 TaskState::Placed(Placement {
                     attempt: 1,
-                    machine: host_name((j * JOB + i) / TASKS).as_str().into(),
+                    machine: machine_name((job * TASKS_PER_JOB + task) / TASKS_PER_MACHINE)
+                        .as_str()
+                        .into(),
                     session: 1,
                     stop: None,
                 })
             })
             .collect();
-        let r = JobRecord(spec(j, JOB, 800), TaskBlock(slots));
-        out.push((keys::job(&job_name(j)), to_value(&r)));
+        let record = JobRecord(job_spec(job, TASKS_PER_JOB, 800), TaskBlock(tasks));
+        values.push((keys::job(&job_name(job)), to_value(&record)));
     }
-    for j in 0..machines / 100 {
-        let r = JobRecord(spec(j, JOB, 800), TaskBlock::default());
-        out.push((keys::job(&job_name(jobs + j)), to_value(&r)));
+    for job in 0..machine_count / 100 {
+        let record = JobRecord(job_spec(job, TASKS_PER_JOB, 800), TaskBlock::default());
+        values.push((
+            keys::job(&job_name(full_job_count + job)),
+            to_value(&record),
+        ));
     }
-    out
+    values
 }
 
-fn view(machines: usize) -> ClusterState {
-    view_of(machines, machines / 10)
+fn cluster_state(machine_count: usize) -> ClusterState {
+    cluster_state_with_empty(machine_count, machine_count / 10)
 }
 
-fn view_of(machines: usize, empty: usize) -> ClusterState {
-    let mut v = ClusterState::default();
-    for (n, (k, x)) in keys_of_fleet(machines, empty).iter().enumerate() {
-        v.put(k, x, n as u64 + 1);
+fn cluster_state_with_empty(machine_count: usize, empty_count: usize) -> ClusterState {
+    let mut cluster = ClusterState::default();
+    for (index, (key, value)) in stored_values(machine_count, empty_count).iter().enumerate() {
+        cluster.put(key, value, index as u64 + 1);
     }
-    v.changed_machines.clear();
-    v
+    cluster.changed_machines.clear();
+    cluster
 }
 
-fn planned(v: &ClusterState, forecast: bool) -> usize {
-    let p = plan_of(v, forecast);
-    p.changes.len() + p.free_resources.len()
+fn schedule_size(cluster: &ClusterState, forecast: bool) -> usize {
+    let schedule = run_schedule(cluster, forecast);
+    schedule.changes.len() + schedule.free_resources.len()
 }
 
-fn plan_of(v: &ClusterState, forecast: bool) -> Schedule {
-    let yes = |_: &str| true;
-    let no = |_: &str| false;
-    let open = |_: &MachineId, h: &MachineRecord| {
+fn run_schedule(cluster: &ClusterState, forecast: bool) -> Schedule {
+    let always = |_: &str| true;
+    let never = |_: &str| false;
+    let schedulable = |_: &MachineId, record: &MachineRecord| {
         Some(SchedulableMachine {
-            session: h.session,
+            session: record.session,
             owned: true,
         })
     };
     schedule(&SchedulingInput {
-        view: v,
+        view: cluster,
         wall_clock: SECOND,
         teams: &[],
         objectives: &[],
-        schedulable: &open,
+        schedulable: &schedulable,
         freed: &HashMap::default(),
-        in_backoff: &no,
-        owns_job: &yes,
-        owns_machine: &yes,
+        in_backoff: &never,
+        owns_job: &always,
+        owns_machine: &always,
         place_gangs: true,
         place_arrays: true,
         place_deadline_steps: true,
@@ -167,30 +173,30 @@
     })
 }
 
-/// The plan of all that waits.
-#[divan::bench(args = SIZES)]
-fn plan_of_a_backlog(b: Bencher<'_, '_>, n: usize) {
-    let v = view(n);
-    b.bench_local(|| planned(&v, false));
+/// Schedules all pending tasks (`plan_of_a_backlog` in older measurements).
+#[divan::bench(args = MACHINE_COUNTS)]
+fn schedule_backlog(bencher: Bencher<'_, '_>, machine_count: usize) {
+    let cluster = cluster_state(machine_count);
+    bencher.bench_local(|| schedule_size(&cluster, false));
 }
 
-/// What the leader works out to rent and return machines.
-#[divan::bench(args = SIZES)]
-fn forecast(b: Bencher<'_, '_>, n: usize) {
-    let v = view(n);
-    b.bench_local(|| planned(&v, true));
+/// Forecasts the demand from which the leader derives scale-out and scale-in.
+#[divan::bench(args = MACHINE_COUNTS)]
+fn forecast(bencher: Bencher<'_, '_>, machine_count: usize) {
+    let cluster = cluster_state(machine_count);
+    bencher.bench_local(|| schedule_size(&cluster, true));
 }
 
-/// What follows from the forecast: rentals, returns, machines that close.
-#[divan::bench(args = SIZES)]
-fn rent_and_return(b: Bencher<'_, '_>, n: usize) {
-    let v = view(n);
-    let forecast = plan_of(&v, true);
+/// Derives scale-out, scale-in and cordoned machines from the forecast (`rent_and_return` in older measurements).
+#[divan::bench(args = MACHINE_COUNTS)]
+fn scaling_decision(bencher: Bencher<'_, '_>, machine_count: usize) {
+    let cluster = cluster_state(machine_count);
+    let forecast = run_schedule(&cluster, true);
     let policy = Policy::default();
-    let idle_since = v.machines.keys().map(|id| (id.clone(), 0)).collect();
-    b.bench_local(|| {
-        let d = decide(&CapacityForecast {
-            view: &v,
+    let idle_since = cluster.machines.keys().map(|id| (id.clone(), 0)).collect();
+    bencher.bench_local(|| {
+        let decision = decide(&CapacityForecast {
+            view: &cluster,
             schedule: &forecast,
             policy: &policy,
             objectives: &[],
@@ -201,43 +207,52 @@
             machines_per_request: 50,
             known_up: &|_| false,
         });
-        d.scale_out.len() + d.scale_in.len() + d.cordon.len()
+        decision.scale_out.len() + decision.scale_in.len() + decision.cordon.len()
     });
 }
 
-/// One job waits, and every machine has room for one more task.
-#[divan::bench(args = SIZES)]
-fn one_job_on_scattered_room(b: Bencher<'_, '_>, n: usize) {
-    let mut v = view_of(n, 0);
-    let mut stamp = 10 * n as u64;
-    let used = n * TASKS / JOB;
-    for j in 0..used {
-        let id: JobId = job_name(j).into();
-        let Some(job) = v.jobs.get(&id) else { continue };
+/// Schedules one pending job while every machine has capacity for one more task (`one_job_on_scattered_room` in older
+/// measurements).
+#[divan::bench(args = MACHINE_COUNTS)]
+fn one_job_on_fragmented_capacity(bencher: Bencher<'_, '_>, machine_count: usize) {
+    let mut cluster = cluster_state_with_empty(machine_count, 0);
+    let mut revision = 10 * machine_count as u64;
+    let job_count = machine_count * TASKS_PER_MACHINE / TASKS_PER_JOB;
+    for index in 0..job_count {
+        let id: JobId = job_name(index).into();
+        let Some(job) = cluster.jobs.get(&id) else {
+            continue;
+        };
         // Every twentieth task is done: one on each machine.
-        let slots = job.slots().map(|(i, s)| match i as usize % TASKS {
-            0 => TaskState::Done,
-            _ => s.clone(),
-        });
-        let r = JobRecord((*job.spec).clone(), TaskBlock(slots.collect()));
-        stamp += 1;
-        v.put(&keys::job(&id), &to_value(&r), stamp);
+        let tasks =
+            job.slots().map(
+                |(task_index, task)| match task_index as usize % TASKS_PER_MACHINE {
+                    0 => TaskState::Done,
+                    _ => task.clone(),
+                },
+            );
+        let record = JobRecord((*job.spec).clone(), TaskBlock(tasks.collect()));
+        revision += 1;
+        cluster.put(&keys::job(&id), &to_value(&record), revision);
     }
-    for j in used..used + n / 100 {
-        stamp += 1;
-        v.delete(&keys::job(&job_name(j)), stamp);
+    for index in job_count..job_count + machine_count / 100 {
+        revision += 1;
+        cluster.delete(&keys::job(&job_name(index)), revision);
     }
-    stamp += 1;
-    let job = to_value(&JobRecord(spec(0, JOB, 800), TaskBlock::default()));
-    v.put(&keys::job("req-999999"), &job, stamp);
-    b.bench_local(|| planned(&v, false));
+    revision += 1;
+    let job = to_value(&JobRecord(
+        job_spec(0, TASKS_PER_JOB, 800),
+        TaskBlock::default(),
+    ));
+    cluster.put(&keys::job("req-999999"), &job, revision);
+    bencher.bench_local(|| schedule_size(&cluster, false));
 }
 
-fn report(v: &ClusterState, machine: usize) -> Heartbeat {
-    let id = MachineId::from(host_name(machine));
-    let shards = v.tasks_on(&id).into_iter().flatten();
+fn heartbeat_of(cluster: &ClusterState, machine: usize) -> Heartbeat {
+    let id = MachineId::from(machine_name(machine));
+    let placements = cluster.tasks_on(&id).into_iter().flatten();
     Heartbeat {
-        machine: host_name(machine),
+        machine: machine_name(machine),
         address: "10.0.0.1:9000".into(),
         machine_type: "t".into(),
         zone: "z".into(),
@@ -246,10 +261,10 @@
         sequence: 1,
         fencing_token: 5,
         preemption_notice_s: None,
-        tasks: shards
-            .map(|((j, i), p)| ReportedTask {
+        tasks: placements
+            .map(|((j, i), placement)| ReportedTask {
                 task: format!("{j}/{i}"),
-                attempt: u64::from(p.attempt),
+                attempt: u64::from(placement.attempt),
                 status: TaskStatus::Running,
                 reason: None,
                 saved: None,
@@ -258,176 +273,182 @@
     }
 }
 
-/// Every machine is compared with its task blocks, as the periodic full check does (`sweep` in older measurements).
-#[divan::bench(args = SIZES)]
-fn full_check(b: Bencher<'_, '_>, n: usize) {
-    let v = view(n);
-    let mut machines: Vec<(MachineId, WorkerState)> = (0..n)
-        .map(|k| {
-            let mut m = WorkerState::new(5, 0);
-            m.apply_heartbeat(&report(&v, k), HeartbeatSource::Periodic, 1);
-            (host_name(k).into(), m)
+/// Reconciles every machine with its task blocks, as the periodic full check does (`sweep` in older measurements).
+#[divan::bench(args = MACHINE_COUNTS)]
+fn full_check(bencher: Bencher<'_, '_>, machine_count: usize) {
+    let cluster = cluster_state(machine_count);
+    let mut machines: Vec<(MachineId, WorkerState)> = (0..machine_count)
+        .map(|index| {
+            let mut worker = WorkerState::new(5, 0);
+            worker.apply_heartbeat(&heartbeat_of(&cluster, index), HeartbeatSource::Periodic, 1);
+            (machine_name(index).into(), worker)
         })
         .collect();
-    b.bench_local(|| {
-        let mut out = Vec::new();
+    bencher.bench_local(|| {
+        let mut changes = Vec::new();
         let mut count = 0;
-        for (id, m) in &mut machines {
-            reconcile(&v, id, m, 20 * SECOND, 2, &mut out);
-            count += commands(&v, id, m, CommandChannel::Direct).len();
+        for (id, worker) in &mut machines {
+            reconcile(&cluster, id, worker, 20 * SECOND, 2, &mut changes);
+            count += commands(&cluster, id, worker, CommandChannel::Direct).len();
         }
-        count + out.len()
+        count + changes.len()
     });
 }
 
-/// One report of a machine with 20 tasks, from its bytes to what follows from it.
-#[divan::bench(args = SIZES)]
-fn one_report(b: Bencher<'_, '_>, n: usize) {
-    let v = view(n);
-    let id = MachineId::from(host_name(7));
-    let mut heartbeat = report(&v, 7);
+/// Processes one heartbeat of a machine with 20 tasks, from its bytes to the resulting commands (`one_report` in older
+/// measurements).
+#[divan::bench(args = MACHINE_COUNTS)]
+fn one_heartbeat(bencher: Bencher<'_, '_>, machine_count: usize) {
+    let cluster = cluster_state(machine_count);
+    let id = MachineId::from(machine_name(7));
+    let mut heartbeat = heartbeat_of(&cluster, 7);
     let mut worker = WorkerState::new(5, 0);
     let mut sequence = 1;
-    b.bench_local(|| {
+    bencher.bench_local(|| {
         sequence += 1;
         heartbeat.sequence = sequence;
         let body = encode(&heartbeat);
         if let Ok(heartbeat) = decode::<Heartbeat>(&body) {
             worker.apply_heartbeat(&heartbeat, HeartbeatSource::Periodic, sequence);
         }
-        commands(&v, &id, &mut worker, CommandChannel::HeartbeatAnswer).len()
+        commands(&cluster, &id, &mut worker, CommandChannel::HeartbeatAnswer).len()
     });
 }
 
-/// One job is placed and ends again, as the watch tells it.
-#[divan::bench(args = SIZES)]
-fn watch_entries(b: Bencher<'_, '_>, n: usize) {
-    let mut v = view(n);
-    let spec = spec(0, JOB, 800);
+/// Applies the watch events of one job that is created, placed and deleted (`watch_entries` in older measurements).
+#[divan::bench(args = MACHINE_COUNTS)]
+fn watch_events(bencher: Bencher<'_, '_>, machine_count: usize) {
+    let mut cluster = cluster_state(machine_count);
+    let spec = job_spec(0, TASKS_PER_JOB, 800);
     let key = keys::job("req-999999");
-    let placed = |i: usize| {
+    let placed = |index: usize| {
         TaskState::Placed(Placement {
             attempt: 1,
-            machine: host_name(n - 1 - i % 50).as_str().into(),
+            machine: machine_name(machine_count - 1 - index % 50).as_str().into(),
             session: 1,
             stop: None,
         })
     };
-    let block = TaskBlock((0..JOB).map(placed).collect());
-    let mut stamp = 10 * n as u64;
-    let (r1, r2) = (
+    let block = TaskBlock((0..TASKS_PER_JOB).map(placed).collect());
+    let mut revision = 10 * machine_count as u64;
+    let (pending_record, placed_record) = (
         to_value(&JobRecord(spec.clone(), TaskBlock::default())),
         to_value(&JobRecord(spec, block)),
     );
-    b.bench_local(|| {
-        let log = WatchResponse {
-            revision: stamp + 3,
+    bencher.bench_local(|| {
+        let response = WatchResponse {
+            revision: revision + 3,
             events: vec![
                 Event::Put {
                     key: key.clone(),
-                    value: r1.clone(),
-                    version: stamp + 1,
+                    value: pending_record.clone(),
+                    version: revision + 1,
                 },
                 Event::Put {
                     key: key.clone(),
-                    value: r2.clone(),
-                    version: stamp + 2,
+                    value: placed_record.clone(),
+                    version: revision + 2,
                 },
                 Event::Delete {
                     key: key.clone(),
-                    version: stamp + 3,
+                    version: revision + 3,
                 },
             ],
         };
-        stamp += 3;
-        let Ok(log) = decode::<WatchResponse>(&encode(&log)) else {
+        revision += 3;
+        let Ok(response) = decode::<WatchResponse>(&encode(&response)) else {
             return 0;
         };
-        for e in &log.events {
-            match e {
+        for event in &response.events {
+            match event {
                 Event::Put {
-                    key: put,
-                    value: x,
-                    version: stamp,
-                } => v.put(put, x, *stamp),
+                    key: written_key,
+                    value: new_value,
+                    version: revision,
+                } => cluster.put(written_key, new_value, *revision),
                 Event::Delete {
-                    key: remove,
-                    version: stamp,
-                } => v.delete(remove, *stamp),
+                    key: deleted_key,
+                    version: revision,
+                } => cluster.delete(deleted_key, *revision),
             }
         }
-        v.changed_machines.clear();
-        v.jobs.len()
+        cluster.changed_machines.clear();
+        cluster.jobs.len()
     });
 }
 
-/// A controller that starts reads the whole state.
-#[divan::bench(args = SIZES, sample_count = 10)]
-fn start_from_a_full_state(b: Bencher<'_, '_>, n: usize) {
-    let all = keys_of_fleet(n, n / 10);
-    b.bench_local(|| {
-        let mut v = ClusterState::default();
-        for (k, (key, x)) in all.iter().enumerate() {
-            v.put(key, x, k as u64 + 1);
+/// Loads the whole cluster state, as a controller does at startup (`start_from_a_full_state` in older measurements).
+#[divan::bench(args = MACHINE_COUNTS, sample_count = 10)]
+fn load_full_state(bencher: Bencher<'_, '_>, machine_count: usize) {
+    let stored = stored_values(machine_count, machine_count / 10);
+    bencher.bench_local(|| {
+        let mut cluster = ClusterState::default();
+        for (index, (key, value)) in stored.iter().enumerate() {
+            cluster.put(key, value, index as u64 + 1);
         }
-        v.jobs.len()
+        cluster.jobs.len()
     });
 }
 
-/// A controller starts into a full fleet: the lists as they come from the state service, up to the first
-/// plan. Sizes of the fleet files, half as many machines again, and twice that.
+/// Starts a controller in a full cluster: from the encoded lists of the state service to the first schedule
+/// (`from_the_lists_to_the_first_plan` in older measurements). The sizes are that of the fleet files, half as many
+/// machines again, and twice the latter.
 #[divan::bench(args = [1_344, 2_016, 4_000])]
-fn from_the_lists_to_the_first_plan(b: Bencher<'_, '_>, n: usize) {
-    let pages: Vec<Vec<u8>> = keys_of_fleet(n, n / 10)
+fn lists_to_first_schedule(bencher: Bencher<'_, '_>, machine_count: usize) {
+    let pages: Vec<Vec<u8>> = stored_values(machine_count, machine_count / 10)
         .chunks(500)
         .map(|chunk| {
             let items = chunk.iter().enumerate();
             encode(&Page {
                 items: items
-                    .map(|(k, (path, v))| Item {
-                        key: path.clone(),
-                        value: v.clone(),
-                        version: k as u64 + 1,
+                    .map(|(index, (key, value))| Item {
+                        key: key.clone(),
+                        value: value.clone(),
+                        version: index as u64 + 1,
                     })
                     .collect(),
                 more: true,
-                revision: n as u64,
+                revision: machine_count as u64,
             })
         })
         .collect();
-    b.bench_local(|| {
-        let mut v = ClusterState::default();
+    bencher.bench_local(|| {
+        let mut cluster = ClusterState::default();
         for page in &pages {
-            for i in decode::<Page>(page).map(|p| p.items).unwrap_or_default() {
-                v.put(&i.key, &i.value, i.version);
+            for item in decode::<Page>(page)
+                .map(|page| page.items)
+                .unwrap_or_default()
+            {
+                cluster.put(&item.key, &item.value, item.version);
             }
         }
-        planned(&v, false)
+        schedule_size(&cluster, false)
     });
 }
 
-/// A plan in which one job is new and nothing else waits; 50 machines are empty whatever the size.
-#[divan::bench(args = SIZES)]
-fn one_job_changed(b: Bencher<'_, '_>, n: usize) {
-    let mut v = view_of(n, 50);
-    let waiting: Vec<JobId> = v
+/// Schedules one new job while no other job is pending; 50 machines are empty at every size (`one_job_changed` in older
+/// measurements).
+#[divan::bench(args = MACHINE_COUNTS)]
+fn one_new_job(bencher: Bencher<'_, '_>, machine_count: usize) {
+    let mut cluster = cluster_state_with_empty(machine_count, 50);
+    let waiting: Vec<JobId> = cluster
         .jobs
         .iter()
-        .filter(|(_, j)| j.waiting > 0)
+        .filter(|(_, job)| job.waiting > 0)
         .map(|(id, _)| id.clone())
         .collect();
-    let mut stamp = 10 * n as u64;
+    let mut revision = 10 * machine_count as u64;
     for id in waiting {
-        v.delete(&keys::job(&id), stamp);
+        cluster.delete(&keys::job(&id), revision);
     }
-    let job = to_value(&JobRecord(spec(0, 10, 800), TaskBlock::default()));
-    b.bench_local(|| {
-        stamp += 1;
-        v.put(&keys::job("req-999999"), &job, stamp);
-        let k = planned(&v, false);
-        stamp += 1;
-        v.delete(&keys::job("req-999999"), stamp);
-        v.changed_machines.clear();
-        k
+    let job = to_value(&JobRecord(job_spec(0, 10, 800), TaskBlock::default()));
+    bencher.bench_local(|| {
+        revision += 1;
+        cluster.put(&keys::job("req-999999"), &job, revision);
+        let size = schedule_size(&cluster, false);
+        revision += 1;
+        cluster.delete(&keys::job("req-999999"), revision);
+        cluster.changed_machines.clear();
+        size
     });
 }
