--- a/tests/invariants/checks.rs
+++ b/tests/invariants/checks.rs
@@ -1,14 +1,15 @@
-//! What must hold after each event.
+//! Invariants that are checked after each event.
 
 use crate::common;
-use crate::world::{CANCEL, LEASE, World};
+use crate::world::{CANCEL_TIMEOUT, LEASE_DURATION, World};
 use coppergw::jobs::model::{JobRecord, TaskState};
 use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
 use coppergw::wire::worker::{Command, TaskStatus};
 
 impl World {
-    /// What is written as done was done; what ended stays ended.
+    /// Checks that each task recorded as done has completed, and that a finished job keeps its outcome and has no
+    /// job record.
     pub(crate) fn check_records(&mut self) {
         for controller in &self.controllers {
             common::indexed(&controller.view);
@@ -28,23 +29,24 @@
             if let Some(job) = key.strip_prefix("c/final/") {
                 let finished: coppergw::jobs::model::FinishedJob =
                     value.deserialized().expect("final");
-                let before = self
+                let previous = self
                     .finished_jobs
                     .insert(job.to_string(), !finished.cancelled);
                 assert!(
-                    before.is_none_or(|before| before != finished.cancelled),
+                    previous.is_none_or(|previous| previous != finished.cancelled),
                     "went_back"
                 );
                 assert!(
                     !self.store.keys.contains_key(&keys::job(job)),
-                    "a job is over and goes on"
+                    "{job} has both a job record and a final record"
                 );
             }
         }
     }
 
-    /// What a cancelled job left is gone in time. A lease that has run out ended its tasks when it did.
-    pub(crate) fn check_cancelled_are_gone(&self) {
+    /// Checks that tasks of cancelled jobs end within `CANCEL_TIMEOUT`. An expired lease ends its tasks at the
+    /// moment of expiry.
+    pub(crate) fn check_cancelled_tasks_ended(&self) {
         for worker in self.workers.iter().filter(|worker| worker.alive) {
             for (name, task) in &worker.tasks {
                 let cancelled_at = name
@@ -53,9 +55,9 @@
                 if let (Some(cancelled_at), true) =
                     (cancelled_at, task.status != TaskStatus::Exited)
                 {
-                    let until = self.now.min(worker.lease_renewed_at + LEASE);
+                    let running_until = self.now.min(worker.lease_renewed_at + LEASE_DURATION);
                     assert!(
-                        until <= cancelled_at + CANCEL,
+                        running_until <= cancelled_at + CANCEL_TIMEOUT,
                         "ran_cancelled: {name} on {}",
                         worker.name
                     );
@@ -65,14 +67,14 @@
     }
 }
 
-/// Nobody who knows that a job is cancelled has a task of it start.
-pub(crate) fn assert_no_cancelled_start(view: &ClusterState, list: &[Command]) {
-    for command in list {
+/// Asserts that a controller whose view shows a job as cancelled starts none of its tasks.
+pub(crate) fn assert_no_cancelled_start(view: &ClusterState, batch: &[Command]) {
+    for command in batch {
         if let Command::Start { task, .. } = command {
-            let job = task.split_once('/').and_then(|(j, _)| view.jobs.get(j));
+            let job = task.split_once('/').and_then(|(job, _)| view.jobs.get(job));
             assert!(
-                job.is_some_and(|j| !j.cancelled()),
-                "{task} is told to start"
+                job.is_some_and(|job| !job.cancelled()),
+                "start of a task of a cancelled job: {task}"
             );
         }
     }
--- a/tests/invariants/controllers.rs
+++ b/tests/invariants/controllers.rs
@@ -1,8 +1,8 @@
-//! What a controller does: hears of changes, claims shards, reconciles, and answers heartbeats.
+//! Actions of a controller: reads changes, claims shards, reconciles, and answers heartbeats.
 
 use crate::checks::assert_no_cancelled_start;
 use crate::common::LIMITS;
-use crate::world::{CANCEL, DelayedMessage, LEASE, World};
+use crate::world::{CANCEL_TIMEOUT, DelayedMessage, LEASE_DURATION, World};
 use coppergw::autoscaler::model::{MachineRecord, MachineState};
 use coppergw::ids::MachineId;
 use coppergw::jobs::commit::{JobChange, stage};
@@ -20,19 +20,20 @@
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 
 impl World {
-    /// A controller hears of everything, and has a lease again if it lost it.
+    /// Applies all changes in the state service to the view of a controller. A controller without a lease gets a
+    /// new one and writes its member key.
     pub(crate) fn sync(&mut self, controller_index: usize) {
         if self.controllers[controller_index].state_service_refuses {
             return;
         }
         let key = keys::member(&self.controllers[controller_index].name);
-        let have =
+        let is_member =
             self.store.keys.contains_key(&key) && self.controllers[controller_index].lease > 0;
-        if !have {
-            self.leases += 1;
-            self.controllers[controller_index].lease = self.leases;
+        if !is_member {
+            self.last_lease_id += 1;
+            self.controllers[controller_index].lease = self.last_lease_id;
             let member = Member {
-                lease: self.leases,
+                lease: self.last_lease_id,
                 since: 0,
                 unreachable_by_workers: false,
                 version: 0,
@@ -41,17 +42,18 @@
             self.store.put(key, &member);
         }
         let controller = &mut self.controllers[controller_index];
-        for (revision, path, value) in &self.store.log[controller.seen..] {
+        for (revision, path, value) in &self.store.log[controller.log_position..] {
             match value {
                 Some(value) => controller.view.put(path, value, *revision),
                 None => controller.view.delete(path, *revision),
             }
         }
-        controller.seen = self.store.log.len();
+        controller.log_position = self.store.log.len();
         controller.synced_at = self.now;
         controller.view.revision = self.store.rev;
     }
 
+    /// Returns the term under which a controller owns a shard, according to its view.
     pub(crate) fn term(&self, controller_index: usize, shard: u32) -> Option<u64> {
         let controller = &self.controllers[controller_index];
         let record = controller.view.shards.get(&shard)?;
@@ -70,14 +72,15 @@
         let mut transaction = Transaction::default();
         for shard in 0..SHARD_COUNT {
             let current = controller.view.shards.get(&shard);
-            let ours =
-                current.is_some_and(|x| x.owner == controller.name && x.lease == controller.lease);
-            let blocked_by_unacknowledged_start = controller
-                .machines
-                .iter()
-                .any(|(id, m)| shard_of(id) == shard && m.blocked_by_unacknowledged_start());
+            let is_owner = current.is_some_and(|shard| {
+                shard.owner == controller.name && shard.lease == controller.lease
+            });
+            let blocked_by_unacknowledged_start =
+                controller.machines.iter().any(|(id, machine)| {
+                    shard_of(id) == shard && machine.blocked_by_unacknowledged_start()
+                });
             if assigned.get(&shard) == Some(&controller.name)
-                && (!ours || blocked_by_unacknowledged_start)
+                && (!is_owner || blocked_by_unacknowledged_start)
             {
                 let key = keys::shard(shard);
                 transaction.preconditions.push(Precondition {
@@ -89,7 +92,7 @@
                     value: to_value(&Shard {
                         owner: controller.name.clone(),
                         lease: controller.lease,
-                        term: current.map_or(0, |x| x.term) + 1,
+                        term: current.map_or(0, |shard| shard.term) + 1,
                     }),
                     lease: None,
                 });
@@ -100,7 +103,7 @@
         }
     }
 
-    pub(crate) fn adopt_machines(&mut self, controller_index: usize) {
+    pub(crate) fn track_owned_machines(&mut self, controller_index: usize) {
         let ids: Vec<MachineId> = self.controllers[controller_index]
             .view
             .machines
@@ -114,9 +117,10 @@
         let controller = &mut self.controllers[controller_index];
         controller
             .machines
-            .retain(|id, m| terms[shard_of(id) as usize] == Some(m.term));
-        let gone: Vec<MachineId> = controller.view.tasks_by_machine.keys().cloned().collect();
-        for id in ids.into_iter().chain(gone) {
+            .retain(|id, machine| terms[shard_of(id) as usize] == Some(machine.term));
+        let machines_with_tasks: Vec<MachineId> =
+            controller.view.tasks_by_machine.keys().cloned().collect();
+        for id in ids.into_iter().chain(machines_with_tasks) {
             if let Some(term) = terms[shard_of(&id) as usize] {
                 controller
                     .machines
@@ -132,14 +136,15 @@
             .collect()
     }
 
-    /// One pass of the reconciler. `fate` of its writes: carried out, carried out without an answer, or late.
-    pub(crate) fn reconcile_pass(&mut self, controller_index: usize, fate: u8) {
-        self.adopt_machines(controller_index);
+    /// Runs one pass of the reconciler. The generated `outcome` selects whether its writes are applied or delayed,
+    /// whether ended attempts are recorded, and whether a task is preempted.
+    pub(crate) fn reconcile_pass(&mut self, controller_index: usize, outcome: u8) {
+        self.track_owned_machines(controller_index);
         let terms = self.terms(controller_index);
-        let (mut changes, freed) = self.proven_changes(controller_index, fate);
+        let (mut changes, freed) = self.completion_changes(controller_index, outcome);
         changes.extend(self.scheduled_changes(controller_index, &terms, &freed));
-        if fate % 32 >= 24 {
-            changes.extend(self.stop_of_some_task(controller_index, &terms, fate));
+        if outcome % 32 >= 24 {
+            changes.extend(self.preemption_change(controller_index, &terms, outcome));
         }
         let sessions = self.session_writes(controller_index);
         let controller = &self.controllers[controller_index];
@@ -155,8 +160,8 @@
             self.store.apply(&transaction);
         }
         for write in staged {
-            match fate % 4 {
-                // What is sent to a service that refuses may have been on its way before.
+            match outcome % 4 {
+                // A refusing service drops new transactions; a delayed one may have been sent before the refusal.
                 1.. if state_service_refuses => {}
                 0 => self
                     .delayed
@@ -168,25 +173,32 @@
         }
     }
 
-    /// Ends of attempts and jobs that follow from what the controller knows, and the resources that are free
-    /// after them.
-    fn proven_changes(
+    /// Returns ends of attempts and jobs that follow from the state of the controller, and the resources that they
+    /// free.
+    fn completion_changes(
         &self,
         controller_index: usize,
-        fate: u8,
+        outcome: u8,
     ) -> (Vec<JobChange>, HashMap<MachineId, Resources>) {
         let controller = &self.controllers[controller_index];
         let mut changes = Vec::new();
         let mut freed: HashMap<MachineId, Resources> = HashMap::new();
         for (id, worker) in &controller.machines {
             let mut ended = Vec::new();
-            reconcile(&controller.view, id, worker, LEASE, self.now, &mut ended);
+            reconcile(
+                &controller.view,
+                id,
+                worker,
+                LEASE_DURATION,
+                self.now,
+                &mut ended,
+            );
             for change in &ended {
                 let resources = controller.view.jobs[change.job()].spec.resources;
                 freed.entry(id.clone()).or_default().add(&resources);
             }
-            // Bookkeeping may wait: the resources are used again before the exit is written.
-            if fate < 128 {
+            // The exit may be written later: the resources are reused before that.
+            if outcome < 128 {
                 changes.extend(ended);
             }
         }
@@ -242,23 +254,23 @@
         .changes
     }
 
-    /// A preemption or a drain: a task that has to stop and starts again elsewhere. What is wrongly believed to
-    /// have ended shows only here.
-    fn stop_of_some_task(
+    /// Stops a task as a preemption or a drain does, so that it restarts on another machine. Only such a restart
+    /// reveals an attempt that was wrongly recorded as ended.
+    fn preemption_change(
         &self,
         controller_index: usize,
         terms: &[Option<u64>],
-        fate: u8,
+        outcome: u8,
     ) -> Option<JobChange> {
         let controller = &self.controllers[controller_index];
         let owns = |name: &str| terms[shard_of(name) as usize].is_some();
-        let own = |placement: &&(u32, &Placement)| {
+        let can_stop = |placement: &&(u32, &Placement)| {
             placement.1.stop.is_none() && owns(&placement.1.machine)
         };
-        let jobs = controller.view.jobs.iter().skip(fate as usize / 32);
+        let jobs = controller.view.jobs.iter().skip(outcome as usize / 32);
         let (id, (index, placement)) = jobs
             .flat_map(|(id, job)| job.placements().map(move |placement| (id, placement)))
-            .find(|(_, placement)| own(&placement))?;
+            .find(|(_, placement)| can_stop(&placement))?;
         Some(JobChange::Stop {
             job: id.clone(),
             index,
@@ -267,7 +279,8 @@
         })
     }
 
-    /// New sessions of machines that hold the controller's token, for their records.
+    /// Returns updates of machine records with new sessions of machines that hold the fencing token of the
+    /// controller.
     fn session_writes(&self, controller_index: usize) -> Vec<Transaction> {
         let controller = &self.controllers[controller_index];
         let mut sessions = Vec::new();
@@ -300,7 +313,7 @@
         sessions
     }
 
-    /// A controller answers a heartbeat with its token and commands, if the machine is its own.
+    /// Answers a heartbeat with the fencing token and commands, if the controller owns the machine.
     pub(crate) fn answer_heartbeat(
         &mut self,
         controller_index: usize,
@@ -310,8 +323,8 @@
         let term = self.term(controller_index, shard_of(&id))?;
         if heartbeat.fencing_token > term
             || !may_answer(
-                LEASE,
-                CANCEL,
+                LEASE_DURATION,
+                CANCEL_TIMEOUT,
                 self.controllers[controller_index].synced_at,
                 self.now,
             )
@@ -331,7 +344,7 @@
             (heartbeat.session, heartbeat.sequence) > (worker.session, worker.heartbeat.sequence);
         worker.apply_heartbeat(heartbeat, HeartbeatSource::Periodic, now);
         worker.heartbeat.last_answered_at = Some(now);
-        let list = if newer {
+        let batch = if newer {
             commands(
                 &controller.view,
                 &id,
@@ -341,7 +354,7 @@
         } else {
             Vec::new()
         };
-        assert_no_cancelled_start(&self.controllers[controller_index].view, &list);
-        Some((term, list))
+        assert_no_cancelled_start(&self.controllers[controller_index].view, &batch);
+        Some((term, batch))
     }
 }
--- a/tests/invariants/events.rs
+++ b/tests/invariants/events.rs
@@ -1,8 +1,8 @@
-//! Generated events: what may happen next, and how everything settles once failures end.
+//! Generated events, and recovery once the failures end.
 
 use crate::world::{
-    CONTROLLERS, DelayedMessage, GANG_EVERY, GANG_TASKS, SimulatedController, SimulatedWorker,
-    World, spec,
+    CONTROLLER_COUNT, DelayedMessage, JOBS_PER_GANG, SimulatedController, SimulatedWorker,
+    TASKS_PER_GANG, World, spec,
 };
 use coppergw::jobs::model::{JobId, JobRecord, TaskBlock};
 use coppergw::membership::shard_of;
@@ -15,46 +15,52 @@
 use std::collections::BTreeMap;
 
 impl World {
-    pub(crate) fn step(&mut self, op: u8, first: u8, second: u8) {
-        let controller_index = first as usize % CONTROLLERS;
-        let worker_index = second as usize % self.workers.len();
-        match op % 16 {
+    /// Executes one generated event, then checks the records.
+    pub(crate) fn step(&mut self, operation: u8, selector: u8, argument: u8) {
+        let controller_index = selector as usize % CONTROLLER_COUNT;
+        let worker_index = argument as usize % self.workers.len();
+        match operation % 16 {
             0 | 1 => self.sync(controller_index),
             2 => {
                 self.sync(controller_index);
                 self.claim_shards(controller_index);
                 self.sync(controller_index);
             }
-            3..=5 => self.reconcile_pass(controller_index, second),
+            3..=5 => self.reconcile_pass(controller_index, argument),
             6..=8 => {
-                // Mostly to the owner.
+                // Usually to the owner of the machine.
                 let shard = shard_of(&self.workers[worker_index].name);
-                let owner = (0..CONTROLLERS)
+                let owner = (0..CONTROLLER_COUNT)
                     .find(|controller_index| self.term(*controller_index, shard).is_some());
                 self.exchange_heartbeat(
                     worker_index,
                     owner
-                        .filter(|_| !first.is_multiple_of(8))
+                        .filter(|_| !selector.is_multiple_of(8))
                         .unwrap_or(controller_index),
-                    first / 8,
+                    selector / 8,
                 );
             }
-            9 | 10 => self.call_directly(controller_index, worker_index, first / 3),
-            11 => self.deliver_delayed(second as usize),
-            12 => self.pass_time(u64::from(first % 64) * SECOND / 8),
-            13 => self.fail(first, controller_index, worker_index),
-            14 => self.complete_one(worker_index),
-            _ => self.submit_or_cancel(first, second),
+            9 | 10 => self.send_direct_call(controller_index, worker_index, selector / 3),
+            11 => self.deliver_delayed(argument as usize),
+            12 => self.advance_time(u64::from(selector % 64) * SECOND / 8),
+            13 => self.inject_failure(selector, controller_index, worker_index),
+            14 => self.complete_first_running_task(worker_index),
+            _ => self.submit_or_cancel(selector, argument),
         }
         self.advance_gangs();
         self.check_records();
     }
 
-    /// One failure: a lease expires, its controller knowing or not; a controller restarts; a machine is taken
-    /// back; a partition outbound or inbound begins or heals; a machine hangs, or goes on; the state
-    /// service refuses a controller, or no more; a task fails.
-    pub(crate) fn fail(&mut self, first: u8, controller_index: usize, worker_index: usize) {
-        match first % 8 {
+    /// Injects one failure: a lease expires, noticed by its controller or not; a controller restarts; a machine is
+    /// reclaimed; an outbound or inbound partition starts or ends; a machine hangs or resumes; the state service
+    /// starts or stops refusing a controller; a task fails.
+    pub(crate) fn inject_failure(
+        &mut self,
+        selector: u8,
+        controller_index: usize,
+        worker_index: usize,
+    ) {
+        match selector % 8 {
             0 => {
                 let key = keys::member(&self.controllers[controller_index].name);
                 self.store.apply(&Transaction {
@@ -68,7 +74,7 @@
                     name,
                     lease: 0,
                     view: ClusterState::default(),
-                    seen: 0,
+                    log_position: 0,
                     synced_at: 0,
                     state_service_refuses: self.controllers[controller_index].state_service_refuses,
                     machines: BTreeMap::new(),
@@ -97,51 +103,56 @@
         }
     }
 
-    /// The first task that runs on a machine completes.
-    pub(crate) fn complete_one(&mut self, worker_index: usize) {
-        let runs = |worker: &SimulatedWorker| {
-            let mut list = worker
+    /// Completes the first running task of a machine.
+    pub(crate) fn complete_first_running_task(&mut self, worker_index: usize) {
+        let first_running = |worker: &SimulatedWorker| {
+            let mut running = worker
                 .tasks
                 .iter()
                 .filter(|(_, task)| task.status == TaskStatus::Running);
-            list.next().map(|(name, task)| (name.clone(), task.attempt))
+            running
+                .next()
+                .map(|(name, task)| (name.clone(), task.attempt))
         };
         let worker = &self.workers[worker_index];
-        if let (Some((name, attempt)), false) = (runs(worker), worker.hung || !worker.alive) {
+        if let (Some((name, attempt)), false) =
+            (first_running(worker), worker.hung || !worker.alive)
+        {
             self.complete(&name, attempt);
         }
     }
 
-    /// A new job, or the cancellation of one that may exist.
-    pub(crate) fn submit_or_cancel(&mut self, first: u8, second: u8) {
-        let job: JobId = format!("req-{}", u32::from(second) % self.jobs.max(1))
+    /// Submits a new job, or cancels an earlier one if it still has a record.
+    pub(crate) fn submit_or_cancel(&mut self, selector: u8, argument: u8) {
+        let job: JobId = format!("req-{}", u32::from(argument) % self.job_count.max(1))
             .as_str()
             .into();
         let key = keys::job(&job);
-        if !second.is_multiple_of(4) || self.jobs == 0 {
-            let kind = [JobKind::Array, JobKind::Service, JobKind::Array][first as usize % 3];
-            let job_spec = match self.jobs % GANG_EVERY {
-                0 => spec(JobKind::Gang, GANG_TASKS, self.now),
-                _ => spec(kind, 1 + u32::from(first % 3), self.now),
+        if !argument.is_multiple_of(4) || self.job_count == 0 {
+            let kind = [JobKind::Array, JobKind::Service, JobKind::Array][selector as usize % 3];
+            let job_spec = match self.job_count % JOBS_PER_GANG {
+                0 => spec(JobKind::Gang, TASKS_PER_GANG, self.now),
+                _ => spec(kind, 1 + u32::from(selector % 3), self.now),
             };
             self.store.put(
-                keys::job(&format!("req-{}", self.jobs)),
+                keys::job(&format!("req-{}", self.job_count)),
                 &JobRecord(job_spec, TaskBlock::default()),
             );
-            self.jobs += 1;
+            self.job_count += 1;
         } else if self.store.keys.contains_key(&key) {
             self.cancel(&job);
         }
     }
 
+    /// Delivers a delayed message.
     pub(crate) fn deliver_delayed(&mut self, index: usize) {
         if self.delayed.is_empty() {
             return;
         }
-        // Some arrive once more.
-        let again = index >= 192 && self.delayed.len() < 50;
+        // Some messages are delivered twice.
+        let redelivered = index >= 192 && self.delayed.len() < 50;
         let index = index % self.delayed.len();
-        let delayed = match again {
+        let delayed = match redelivered {
             true => self.delayed[index].clone(),
             false => self.delayed.remove(index),
         };
@@ -149,15 +160,15 @@
             DelayedMessage::Transaction(transaction) => {
                 self.store.apply(&transaction);
             }
-            DelayedMessage::CommandBatch(worker_index, term, session, list) => {
+            DelayedMessage::CommandBatch(worker_index, term, session, batch) => {
                 match self.workers[worker_index].hung {
                     true => self.delayed.push(DelayedMessage::CommandBatch(
                         worker_index,
                         term,
                         session,
-                        list,
+                        batch,
                     )),
-                    false => self.deliver_commands(worker_index, term, session, &list),
+                    false => self.deliver_commands(worker_index, term, session, &batch),
                 }
             }
             DelayedMessage::Heartbeat(controller_index, heartbeat) => {
@@ -166,7 +177,7 @@
         }
     }
 
-    /// Without further failures everything that can end does.
+    /// Ends all failures, cancels services, and runs until each job that can finish has finished.
     pub(crate) fn settle(&mut self) {
         self.delayed.clear();
         self.controllers
@@ -179,20 +190,20 @@
                 worker.hung,
             ) = (false, false, false);
         }
-        // Services would keep their resources for ever.
-        let service = |value: &ciborium::Value| {
+        // Services never complete and would keep their resources.
+        let is_service = |value: &ciborium::Value| {
             let JobRecord(spec, _) = value.deserialized().expect("job");
             spec.kind == JobKind::Service
         };
-        let jobs = self.store.keys.iter().filter_map(|(key, (value, _))| {
-            let id = key.strip_prefix("c/job/").filter(|_| service(value))?;
+        let services = self.store.keys.iter().filter_map(|(key, (value, _))| {
+            let id = key.strip_prefix("c/job/").filter(|_| is_service(value))?;
             Some(id.to_string())
         });
-        for id in jobs.collect::<Vec<String>>() {
+        for id in services.collect::<Vec<String>>() {
             self.cancel(&id);
         }
         for _ in 0..80 {
-            for controller_index in 0..CONTROLLERS {
+            for controller_index in 0..CONTROLLER_COUNT {
                 self.sync(controller_index);
                 self.claim_shards(controller_index);
                 self.sync(controller_index);
@@ -201,7 +212,7 @@
             }
             for worker_index in 0..self.workers.len() {
                 let shard = shard_of(&self.workers[worker_index].name);
-                if let Some(controller_index) = (0..CONTROLLERS)
+                if let Some(controller_index) = (0..CONTROLLER_COUNT)
                     .find(|controller_index| self.term(*controller_index, shard).is_some())
                 {
                     self.exchange_heartbeat(worker_index, controller_index, 2);
@@ -210,7 +221,7 @@
             for worker_index in 0..self.workers.len() * 4 {
                 self.step(14, 0, (worker_index % self.workers.len()) as u8);
             }
-            self.pass_time(SECOND);
+            self.advance_time(SECOND);
         }
     }
 }
--- a/tests/invariants/main.rs
+++ b/tests/invariants/main.rs
@@ -1,14 +1,14 @@
-//! The safety rules under generated failures, with a virtual clock and a simulated state service, cloud and
-//! workers. The controllers' own state machines run as they are.
+//! Safety rules under generated failures, with a virtual clock and a simulated state service, cloud and workers.
+//! The state machines of the controllers are those of the production code.
 //!
-//! Messages get lost, or arrive late, also once more after they arrived: transactions, heartbeats and direct
-//! calls. Machines get into an outbound partition (their heartbeats arrive, answers and commands to them are
-//! lost) or an inbound one (heartbeats reach nobody, direct calls arrive). They hang, and go on within their
-//! lease with the commands held meanwhile. Every cancellation is confirmed at once; what a cancelled job left
-//! must be gone in time.
+//! Transactions, heartbeats and direct calls are lost, delayed or delivered twice. Machines get into an outbound
+//! partition (their heartbeats arrive, answers and commands to them are lost) or an inbound partition (their
+//! heartbeats reach no controller, direct calls arrive). They hang, and resume within their lease with the
+//! commands queued during the hang. Every cancellation is confirmed at once, and the tasks of a cancelled job must
+//! end in time.
 //!
-//! `world` is the simulated world; `controllers`, `workers` and `events` are what happens in it, `checks` what
-//! must hold after each event.
+//! `world` holds the simulated state, `controllers`, `workers` and `events` change it, and `checks` holds the
+//! invariants that are checked after each event.
 
 mod checks;
 #[path = "../common/mod.rs"]
@@ -31,7 +31,7 @@
 use foldhash::{HashSet, HashSetExt};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
-use world::{CONTROLLERS, GANG_TASKS, LEASE, SimulatedController, World, spec};
+use world::{CONTROLLER_COUNT, LEASE_DURATION, SimulatedController, TASKS_PER_GANG, World, spec};
 
 proptest! {
     #![proptest_config(ProptestConfig {
@@ -43,55 +43,55 @@
     })]
 
     #[test]
-    fn rules_hold_whatever_fails(ops in proptest::collection::vec(any::<(u8, u8, u8)>(), 100..900)) {
+    fn safety_rules_hold_under_generated_failures(steps in proptest::collection::vec(any::<(u8, u8, u8)>(), 100..900)) {
         let mut world = World::new();
-        for (op, first, second) in ops {
-            world.step(op, first, second);
+        for (operation, selector, argument) in steps {
+            world.step(operation, selector, argument);
         }
         world.settle();
-        // No accepted job is lost: every one is over by now.
+        // No accepted job is lost: each one has finished by now.
         for key in world.store.keys.keys() {
             if key.starts_with("c/job/") {
-                let block = key.replace("/job/", "/block/") + "/0";
-                let slots: Option<TaskBlock> = world
+                let block_key = key.replace("/job/", "/block/") + "/0";
+                let block: Option<TaskBlock> = world
                     .store
                     .keys
-                    .get(&block)
-                    .map(|x| x.0.deserialized().expect("block"));
-                let on: Vec<_> = world
+                    .get(&block_key)
+                    .map(|entry| entry.0.deserialized().expect("block"));
+                let workers: Vec<_> = world
                     .workers
                     .iter()
                     .map(|worker| (&worker.name, worker.alive, worker.session, worker.token, worker.tasks.len()))
                     .collect();
-                prop_assert!(false, "{key} never ended: {slots:?} {on:?}");
+                prop_assert!(false, "{key} is unfinished: {block:?} {workers:?}");
             }
         }
     }
 }
 
-/// It happened in a simulated run: an isolated controller concluded from the silence of a worker that its
-/// lease had expired; the transaction arrived when a newer owner had kept that lease alive.
-#[expect(clippy::too_many_lines, reason = "one recorded history, step by step")]
+/// Guards against a failure seen in a simulated run: an isolated controller took missing heartbeats of a worker
+/// for an expired lease, and its transaction arrived after a newer owner had kept that lease alive.
+#[expect(clippy::too_many_lines, reason = "the steps of one recorded failure")]
 #[test]
-fn a_late_conclusion_of_a_deposed_owner_changes_nothing() {
+fn stale_attempt_end_of_former_owner_is_rejected() {
     let mut world = World::new();
-    for controller_index in 0..CONTROLLERS {
+    for controller_index in 0..CONTROLLER_COUNT {
         world.sync(controller_index);
     }
     world.store.put(
         keys::job("req-1"),
         &JobRecord(spec(JobKind::Service, 1, world.now), TaskBlock::default()),
     );
-    world.jobs = 2;
-    let run = |world: &mut World| {
-        for controller_index in 0..CONTROLLERS {
+    world.job_count = 2;
+    let run_round = |world: &mut World| {
+        for controller_index in 0..CONTROLLER_COUNT {
             world.sync(controller_index);
             world.reconcile_pass(controller_index, 1);
             world.sync(controller_index);
         }
         for worker_index in 0..world.workers.len() {
             let shard = shard_of(&world.workers[worker_index].name);
-            for controller_index in 0..CONTROLLERS {
+            for controller_index in 0..CONTROLLER_COUNT {
                 if world.term(controller_index, shard).is_some() {
                     world.exchange_heartbeat(worker_index, controller_index, 2);
                 }
@@ -99,24 +99,25 @@
         }
     };
     for _ in 0..4 {
-        run(&mut world);
-        world.pass_time(SECOND);
+        run_round(&mut world);
+        world.advance_time(SECOND);
     }
     let machine = (0..world.workers.len())
         .find(|worker_index| !world.workers[*worker_index].tasks.is_empty())
-        .expect("the replica runs");
+        .expect("the replica is running");
     let shard = shard_of(&world.workers[machine].name);
-    let old = (0..CONTROLLERS)
+    let old_owner = (0..CONTROLLER_COUNT)
         .find(|controller_index| world.term(*controller_index, shard).is_some())
         .expect("owner");
-    // The old owner is cut off: its lease ends, others claim its shards and keep the workers alive.
-    let key = keys::member(&world.controllers[old].name);
+    // The old owner is isolated: its lease expires, others claim its shards and renew the leases of the workers.
+    let key = keys::member(&world.controllers[old_owner].name);
     world.store.apply(&Transaction {
         preconditions: vec![],
         mutations: vec![Mutation::Delete { key }],
     });
     for _ in 0..30 {
-        for controller_index in (0..CONTROLLERS).filter(|controller_index| *controller_index != old)
+        for controller_index in
+            (0..CONTROLLER_COUNT).filter(|controller_index| *controller_index != old_owner)
         {
             world.sync(controller_index);
             world.claim_shards(controller_index);
@@ -124,16 +125,19 @@
         }
         for worker_index in 0..world.workers.len() {
             let shard = shard_of(&world.workers[worker_index].name);
-            if let Some(controller_index) = (0..CONTROLLERS).find(|controller_index| {
-                *controller_index != old && world.term(*controller_index, shard).is_some()
+            if let Some(controller_index) = (0..CONTROLLER_COUNT).find(|controller_index| {
+                *controller_index != old_owner && world.term(*controller_index, shard).is_some()
             }) {
                 world.exchange_heartbeat(worker_index, controller_index, 2);
             }
         }
-        world.pass_time(SECOND);
+        world.advance_time(SECOND);
     }
-    world.reconcile_pass(old, 0);
-    assert!(!world.delayed.is_empty(), "it does conclude");
+    world.reconcile_pass(old_owner, 0);
+    assert!(
+        !world.delayed.is_empty(),
+        "the former owner should record the end of the attempt"
+    );
     while !world.delayed.is_empty() {
         world.deliver_delayed(0);
     }
@@ -141,20 +145,20 @@
     let JobRecord(_, block): JobRecord = value.deserialized().expect("job");
     assert!(
         matches!(block.0[0], TaskState::Placed(_)),
-        "still placed: {block:?}"
+        "the task should still be placed: {block:?}"
     );
 }
 
-/// A service of one task that its owner has placed but not started yet, on a machine that holds the owner's
-/// token: the owner and the machine.
+/// Submits a service of one task that its owner has placed but not started yet, on a machine that holds the fencing
+/// token of the owner. Returns the indexes of the owner and the machine.
 fn place_service(world: &mut World) -> (usize, usize) {
     let owner = |world: &World, worker_index: usize| {
         let shard = shard_of(&world.workers[worker_index].name);
-        let owner = (0..CONTROLLERS)
+        let owner = (0..CONTROLLER_COUNT)
             .find(|controller_index| world.term(*controller_index, shard).is_some());
         owner.expect("each shard has an owner")
     };
-    (0..CONTROLLERS).for_each(|controller_index| world.sync(controller_index));
+    (0..CONTROLLER_COUNT).for_each(|controller_index| world.sync(controller_index));
     for _ in 0..2 {
         for worker_index in 0..world.workers.len() {
             world.exchange_heartbeat(worker_index, owner(world, worker_index), 2);
@@ -162,20 +166,20 @@
     }
     let job = JobRecord(spec(JobKind::Service, 1, world.now), TaskBlock::default());
     world.store.put(keys::job("req-1"), &job);
-    world.jobs = 2;
-    for controller_index in 0..CONTROLLERS {
+    world.job_count = 2;
+    for controller_index in 0..CONTROLLER_COUNT {
         world.sync(controller_index);
         world.reconcile_pass(controller_index, 1);
     }
-    (0..CONTROLLERS).for_each(|controller_index| world.sync(controller_index));
+    (0..CONTROLLER_COUNT).for_each(|controller_index| world.sync(controller_index));
     let TaskState::Placed(placement) = task_state(world) else {
-        panic!("it is placed");
+        panic!("the task is not placed");
     };
     let worker_index = world
         .workers
         .iter()
-        .position(|x| x.name == placement.machine);
-    let worker_index = worker_index.expect("on a machine");
+        .position(|worker| worker.name == placement.machine);
+    let worker_index = worker_index.expect("the machine has a worker");
     (owner(world, worker_index), worker_index)
 }
 
@@ -185,7 +189,7 @@
     block.0[0].clone()
 }
 
-/// The owner writes that the task has to stop.
+/// Records a stop request of the owner for the task.
 fn request_stop(world: &mut World, controller_index: usize) {
     world.sync(controller_index);
     let stop = [JobChange::Stop {
@@ -201,7 +205,7 @@
     world.sync(controller_index);
 }
 
-/// Whether the task is still placed in its first attempt after a pass of the owner's reconciler.
+/// Runs a reconciler pass of the owner and returns whether the task is still placed in its first attempt.
 fn still_placed(world: &mut World, controller_index: usize) -> bool {
     world.reconcile_pass(controller_index, 1);
     world.sync(controller_index);
@@ -209,34 +213,39 @@
 }
 
 /// A heartbeat from before the task started arrives after newer ones, while the machine is in an outbound
-/// partition and does not hear that the task has to stop.
+/// partition and does not receive the stop command.
 #[test]
-fn an_old_report_after_newer_ones_proves_nothing() {
+fn reordered_heartbeat_does_not_end_an_attempt() {
     let mut world = World::new();
     let (controller_index, worker_index) = place_service(&mut world);
-    let old = world.heartbeat(worker_index);
-    world.call_directly(controller_index, worker_index, 2);
+    let old_heartbeat = world.heartbeat(worker_index);
+    world.send_direct_call(controller_index, worker_index, 2);
     assert_eq!(world.workers[worker_index].tasks.len(), 1);
     world.workers[worker_index].outbound_partition = true;
     request_stop(&mut world, controller_index);
-    world.answer_heartbeat(controller_index, &old);
+    world.answer_heartbeat(controller_index, &old_heartbeat);
     assert!(still_placed(&mut world, controller_index));
     world.workers[worker_index].outbound_partition = false;
     world.exchange_heartbeat(worker_index, controller_index, 2);
     world.exchange_heartbeat(worker_index, controller_index, 2);
     assert!(
         !still_placed(&mut world, controller_index),
-        "now it has stopped"
+        "the task should have stopped"
     );
 }
 
-/// A direct start is delayed, and the machine reports meanwhile that it has no such task: it may arrive yet.
+/// A direct start command is delayed while the machine reports that it has no such task. The command may still
+/// arrive, so the report does not end the attempt.
 #[test]
-fn a_start_that_is_held_may_come_yet() {
+fn unacknowledged_start_blocks_attempt_end() {
     let mut world = World::new();
     let (controller_index, worker_index) = place_service(&mut world);
-    world.call_directly(controller_index, worker_index, 0);
-    assert_eq!(world.delayed.len(), 1, "it is under way");
+    world.send_direct_call(controller_index, worker_index, 0);
+    assert_eq!(
+        world.delayed.len(),
+        1,
+        "the start command should be in flight"
+    );
     request_stop(&mut world, controller_index);
     for _ in 0..2 {
         let heartbeat = world.heartbeat(worker_index);
@@ -244,65 +253,72 @@
         assert!(still_placed(&mut world, controller_index));
     }
     world.deliver_delayed(0);
-    assert_eq!(world.workers[worker_index].tasks.len(), 1, "here it is");
+    assert_eq!(
+        world.workers[worker_index].tasks.len(),
+        1,
+        "the delayed start should have arrived"
+    );
     assert!(still_placed(&mut world, controller_index));
 }
 
-/// The same, and its owner has ended: the next one gets heartbeats of the machine, which is in an outbound
-/// partition and has not seen the new token, so the start of the owner before may arrive yet.
+/// A direct start command is delayed and its owner loses its lease. The new owner receives heartbeats of the
+/// machine, which is in an outbound partition and has not received the new fencing token, so the start command of
+/// the old owner may still arrive.
 #[test]
-fn what_shows_an_older_token_proves_nothing_to_a_new_owner() {
+fn heartbeat_with_older_token_does_not_end_an_attempt() {
     let mut world = World::new();
     let (controller_index, worker_index) = place_service(&mut world);
-    world.call_directly(controller_index, worker_index, 0);
+    world.send_direct_call(controller_index, worker_index, 0);
     let key = keys::member(&world.controllers[controller_index].name);
-    let then = vec![Mutation::Delete { key }];
+    let member_expiry = vec![Mutation::Delete { key }];
     world.store.apply(&Transaction {
         preconditions: vec![],
-        mutations: then,
+        mutations: member_expiry,
     });
-    let others: Vec<usize> = (0..CONTROLLERS)
-        .filter(|x| *x != controller_index)
+    let others: Vec<usize> = (0..CONTROLLER_COUNT)
+        .filter(|other| *other != controller_index)
         .collect();
     for other in &others {
         world.sync(*other);
         world.claim_shards(*other);
     }
-    others.iter().for_each(|x| world.sync(*x));
+    others.iter().for_each(|other| world.sync(*other));
     let shard = shard_of(&world.workers[worker_index].name);
-    let new = others.into_iter().find(|x| world.term(*x, shard).is_some());
-    let new = new.expect("another took it");
-    request_stop(&mut world, new);
+    let new_owner = others
+        .into_iter()
+        .find(|other| world.term(*other, shard).is_some());
+    let new_owner = new_owner.expect("another controller owns the shard");
+    request_stop(&mut world, new_owner);
     for _ in 0..2 {
         let heartbeat = world.heartbeat(worker_index);
-        world.answer_heartbeat(new, &heartbeat);
-        assert!(still_placed(&mut world, new));
+        world.answer_heartbeat(new_owner, &heartbeat);
+        assert!(still_placed(&mut world, new_owner));
     }
     world.deliver_delayed(0);
     assert_eq!(
         world.workers[worker_index].tasks.len(),
         1,
-        "the old owner's start"
+        "the start of the old owner should have arrived"
     );
     for _ in 0..3 {
-        world.exchange_heartbeat(worker_index, new, 2);
+        world.exchange_heartbeat(worker_index, new_owner, 2);
     }
     assert!(
-        !still_placed(&mut world, new),
-        "the new token was seen, and the stop"
+        !still_placed(&mut world, new_owner),
+        "the worker should have received the new token and the stop command"
     );
 }
 
-/// All controllers are away for longer than the workers' leases, with gangs, arrays and services on their machines and
-/// a job cancelled just before: each task is gone by its lease, sessions are new, and nothing is concluded from the
-/// old attempts but by these; then everything that can end does.
-#[expect(clippy::too_many_lines, reason = "one history, step by step")]
+/// All controllers are down for longer than the leases of the workers, with gangs, arrays and services running and a
+/// job cancelled just before. Each task ends with its lease, and only the new sessions show that the old attempts have
+/// ended. Afterwards each job that can finish does.
+#[expect(clippy::too_many_lines, reason = "the steps of one scenario")]
 #[test]
-fn all_controllers_are_away_for_longer_than_a_lease() {
-    for away in [10, 20, 60, 300] {
+fn tasks_recover_after_outage_of_all_controllers() {
+    for outage_s in [10, 20, 60, 300] {
         let mut world = World::new();
         let kinds = [
-            (JobKind::Gang, GANG_TASKS),
+            (JobKind::Gang, TASKS_PER_GANG),
             (JobKind::Array, 3),
             (JobKind::Service, 2),
         ];
@@ -310,16 +326,16 @@
             let job = JobRecord(spec(kind, tasks, world.now), TaskBlock::default());
             world.store.put(keys::job(&format!("req-{number}")), &job);
         }
-        world.jobs = 3;
+        world.job_count = 3;
         let round = |world: &mut World| {
-            for controller_index in 0..CONTROLLERS {
+            for controller_index in 0..CONTROLLER_COUNT {
                 world.step(2, controller_index as u8, 0);
                 world.reconcile_pass(controller_index, 1);
                 world.sync(controller_index);
             }
             for worker_index in 0..world.workers.len() {
                 let shard = shard_of(&world.workers[worker_index].name);
-                if let Some(controller_index) = (0..CONTROLLERS)
+                if let Some(controller_index) = (0..CONTROLLER_COUNT)
                     .find(|controller_index| world.term(*controller_index, shard).is_some())
                 {
                     world.exchange_heartbeat(worker_index, controller_index, 2);
@@ -327,79 +343,96 @@
             }
             world.advance_gangs();
             world.check_records();
-            world.pass_time(SECOND);
+            world.advance_time(SECOND);
         };
         (0..8).for_each(|_| round(&mut world));
-        let runs = |world: &World| -> usize {
-            let all = world.workers.iter().flat_map(|x| x.tasks.values());
-            all.filter(|task| task.status == TaskStatus::Running)
+        let running_tasks = |world: &World| -> usize {
+            let tasks = world
+                .workers
+                .iter()
+                .flat_map(|worker| worker.tasks.values());
+            tasks
+                .filter(|task| task.status == TaskStatus::Running)
                 .count()
         };
         assert_eq!(
-            (runs(&world), world.gangs_started),
-            (8, GANG_TASKS),
-            "all of it runs"
+            (running_tasks(&world), world.started_gang_tasks),
+            (8, TASKS_PER_GANG),
+            "all tasks should be running"
         );
-        // The service is cancelled, its user told, and nobody has acted on it.
+        // The cancellation of the service is confirmed to its user, and no controller has acted on it yet.
         world.cancel("req-2");
-        for controller_index in 0..CONTROLLERS {
+        for controller_index in 0..CONTROLLER_COUNT {
             world.step(13, controller_index as u8, 0);
             let name = world.controllers[controller_index].name.clone();
             world.controllers[controller_index] = SimulatedController {
                 name,
                 lease: 0,
                 view: ClusterState::default(),
-                seen: 0,
+                log_position: 0,
                 synced_at: 0,
                 state_service_refuses: false,
                 machines: BTreeMap::new(),
             };
         }
-        (0..away).for_each(|_| world.pass_time(SECOND));
-        let lasting = away * SECOND < LEASE;
-        assert_eq!(runs(&world) > 0, lasting, "away for {away} s");
+        (0..outage_s).for_each(|_| world.advance_time(SECOND));
+        let within_lease = outage_s * SECOND < LEASE_DURATION;
+        assert_eq!(
+            running_tasks(&world) > 0,
+            within_lease,
+            "controllers down for {outage_s} s"
+        );
         (0..8).for_each(|_| round(&mut world));
-        assert_eq!(runs(&world), 6, "what goes on runs again, the rest is gone");
+        assert_eq!(
+            running_tasks(&world),
+            6,
+            "only tasks of the gang and the array should be running"
+        );
         world.settle();
-        let left: Vec<&String> = world
+        let unfinished: Vec<&String> = world
             .store
             .keys
             .keys()
             .filter(|key| key.starts_with("c/job/"))
             .collect();
-        assert!(left.is_empty(), "{left:?}");
+        assert!(unfinished.is_empty(), "{unfinished:?}");
     }
 }
 
-/// A controller is isolated with the workers of its zone for longer than their lease, and a job of theirs is cancelled
-/// through another, just after or long after. It goes on answering them, but not for longer than the job may be there.
+/// A controller is isolated together with the workers of its zone for longer than their lease, and one of their jobs is
+/// cancelled through another controller, soon or long after the isolation began. The isolated controller keeps renewing
+/// leases, but only for as long as tasks of a cancelled job may still run.
 #[test]
-fn a_controller_cut_off_with_its_workers_answers_no_longer_than_it_may() {
-    for after in [0, 5, 20, 40] {
+fn isolated_controller_stops_renewing_leases_in_time() {
+    for cancelled_after_s in [0, 5, 20, 40] {
         let mut world = World::new();
         let (controller_index, worker_index) = place_service(&mut world);
         world.exchange_heartbeat(worker_index, controller_index, 2);
         world.exchange_heartbeat(worker_index, controller_index, 2);
-        assert_eq!(world.workers[worker_index].tasks.len(), 1, "it runs");
+        assert_eq!(
+            world.workers[worker_index].tasks.len(),
+            1,
+            "the task should be running"
+        );
         world.controllers[controller_index].state_service_refuses = true;
-        for second in 0..after + 70 {
-            if second == after {
+        for second in 0..cancelled_after_s + 70 {
+            if second == cancelled_after_s {
                 world.cancel("req-1");
             }
             world.sync(controller_index);
             world.exchange_heartbeat(worker_index, controller_index, 2);
             world.reconcile_pass(controller_index, 1);
-            world.pass_time(SECOND);
-            let lives = !world.workers[worker_index].tasks.is_empty();
+            world.advance_time(SECOND);
+            let is_running = !world.workers[worker_index].tasks.is_empty();
             assert!(
-                lives || second >= 28,
-                "it is kept alive for as long as may be: {second} s"
+                is_running || second >= 28,
+                "the lease should be renewed for as long as allowed, but the task ended at {second} s"
             );
         }
         assert!(world.workers[worker_index].tasks.is_empty());
         assert!(
             matches!(task_state(&world), TaskState::Placed(_)),
-            "and concludes nothing"
+            "the isolated controller should not record the end of the attempt"
         );
     }
 }
--- a/tests/invariants/workers.rs
+++ b/tests/invariants/workers.rs
@@ -1,12 +1,16 @@
-//! What a worker does: sends heartbeats, executes commands, and runs gangs.
+//! Actions of a worker: sends heartbeats, executes commands, and runs gangs.
 
 use crate::checks::assert_no_cancelled_start;
-use crate::world::{CANCEL, DelayedMessage, GANG_TASKS, GANG_WAIT, SimulatedTask, World, is_gang};
+use crate::world::{
+    CANCEL_TIMEOUT, DelayedMessage, GANG_WAIT_TIMEOUT, SimulatedTask, TASKS_PER_GANG, World,
+    is_gang,
+};
 use coppergw::wire::worker::{Command, ExitReason, Heartbeat, ReportedTask, TaskStatus};
 use coppergw::workers::{CommandChannel, HeartbeatSource, commands};
 use foldhash::{HashMap, HashMapExt};
 
 impl World {
+    /// Returns the next heartbeat of a worker.
     pub(crate) fn heartbeat(&mut self, worker_index: usize) -> Heartbeat {
         let worker = &mut self.workers[worker_index];
         worker.sequence += 1;
@@ -34,8 +38,9 @@
         }
     }
 
-    pub(crate) fn execute(&mut self, worker_index: usize, list: &[Command]) {
-        for command in list {
+    /// Executes commands on a worker.
+    pub(crate) fn execute(&mut self, worker_index: usize, batch: &[Command]) {
+        for command in batch {
             match command {
                 Command::Start { task, attempt } => self.start(worker_index, task, *attempt),
                 Command::Stop { task, attempt, .. } => {
@@ -58,6 +63,8 @@
         }
     }
 
+    /// Starts a task, after checks that it runs nowhere else and that its job is neither done nor cancelled for
+    /// longer than `CANCEL_TIMEOUT`.
     pub(crate) fn start(&mut self, worker_index: usize, task: &str, attempt: u64) {
         if self.workers[worker_index].tasks.contains_key(task) {
             return;
@@ -67,41 +74,41 @@
                 && other
                     .tasks
                     .get(task)
-                    .is_some_and(|t| t.status != TaskStatus::Exited);
+                    .is_some_and(|task| task.status != TaskStatus::Exited);
             assert!(
                 !runs_there,
-                "ran_twice: {task} runs on {other_index} and is started on {worker_index}"
+                "ran_twice: {task} is running on {other_index} and is started on {worker_index}"
             );
         }
         let (job, _) = task.split_once('/').expect("task name");
         assert!(
             !self.finished_jobs.get(job).is_some_and(|done| *done),
-            "{task} starts although its job is done"
+            "{task} starts after its job is done"
         );
         let cancelled_at = self.cancelled_at.get(job).copied().unwrap_or(self.now);
         assert!(
-            self.now <= cancelled_at + CANCEL,
-            "{task} starts although cancelled"
+            self.now <= cancelled_at + CANCEL_TIMEOUT,
+            "{task} starts after its cancellation timeout"
         );
-        let done = self.completed.contains(task);
-        let gang = is_gang(job);
+        let completed = self.completed.contains(task);
+        let is_in_gang = is_gang(job);
         self.workers[worker_index].tasks.insert(
             task.into(),
             SimulatedTask {
                 attempt,
-                status: match (done, gang) {
+                status: match (completed, is_in_gang) {
                     (true, _) => TaskStatus::Exited,
                     (false, true) => TaskStatus::Waiting,
                     (false, false) => TaskStatus::Running,
                 },
-                reason: done.then_some(ExitReason::Done),
-                since: self.now,
+                reason: completed.then_some(ExitReason::Done),
+                started_at: self.now,
             },
         );
     }
 
-    /// Tasks of gangs find one another by their attempt: they begin when all are there, wait no longer than they
-    /// may, and exit when one of them is gone.
+    /// Advances tasks of gangs, which find their peers by attempt: they run once all have started, exit after
+    /// `GANG_WAIT_TIMEOUT` if some are missing, and exit when a peer has ended.
     pub(crate) fn advance_gangs(&mut self) {
         let now = self.now;
         let mut present: HashMap<(String, u64), u32> = HashMap::new();
@@ -128,16 +135,16 @@
                     continue;
                 };
                 let complete =
-                    present.get(&(job.clone(), task.attempt)).copied() == Some(GANG_TASKS);
+                    present.get(&(job.clone(), task.attempt)).copied() == Some(TASKS_PER_GANG);
                 if !is_gang(&job) || hung {
                     continue;
                 }
                 match task.status {
                     TaskStatus::Waiting if complete => {
                         task.status = TaskStatus::Running;
-                        self.gangs_started += 1;
+                        self.started_gang_tasks += 1;
                     }
-                    TaskStatus::Waiting if now - task.since > GANG_WAIT => {
+                    TaskStatus::Waiting if now - task.started_at > GANG_WAIT_TIMEOUT => {
                         task.exit(ExitReason::Incomplete);
                     }
                     TaskStatus::Running if !complete => task.exit(ExitReason::Peers),
@@ -147,12 +154,13 @@
         }
     }
 
-    /// A worker sends a heartbeat to a controller; the answer comes back or is lost.
+    /// Sends a heartbeat of a worker to a controller. The generated `outcome` selects whether it is delayed or also
+    /// delivered a second time, and whether the answer is lost.
     pub(crate) fn exchange_heartbeat(
         &mut self,
         worker_index: usize,
         controller_index: usize,
-        fate: u8,
+        outcome: u8,
     ) {
         if !self.workers[worker_index].alive
             || self.workers[worker_index].inbound_partition
@@ -160,25 +168,25 @@
         {
             return;
         }
-        let sent = self.now;
+        let sent_at = self.now;
         let heartbeat = self.heartbeat(worker_index);
-        if fate.is_multiple_of(8) {
+        if outcome.is_multiple_of(8) {
             self.delayed
                 .push(DelayedMessage::Heartbeat(controller_index, heartbeat));
             return;
         }
-        if fate >= 24 {
-            // A copy of it arrives again later.
+        if outcome >= 24 {
+            // A duplicate arrives later.
             self.delayed.push(DelayedMessage::Heartbeat(
                 controller_index,
                 heartbeat.clone(),
             ));
         }
-        let Some((token, list)) = self.answer_heartbeat(controller_index, &heartbeat) else {
+        let Some((token, batch)) = self.answer_heartbeat(controller_index, &heartbeat) else {
             return;
         };
         let worker = &mut self.workers[worker_index];
-        if fate % 8 == 1
+        if outcome % 8 == 1
             || worker.outbound_partition
             || token < worker.token
             || heartbeat.session != worker.session
@@ -186,13 +194,19 @@
             return;
         }
         worker.token = token;
-        worker.lease_renewed_at = sent;
-        self.execute(worker_index, &list);
+        worker.lease_renewed_at = sent_at;
+        self.execute(worker_index, &batch);
     }
 
-    /// A direct call of a controller to one of its machines.
-    pub(crate) fn call_directly(&mut self, controller_index: usize, worker_index: usize, fate: u8) {
-        self.adopt_machines(controller_index);
+    /// Sends commands of a controller directly to one of its machines. The generated `outcome` selects whether they
+    /// are delayed and whether the reply is lost.
+    pub(crate) fn send_direct_call(
+        &mut self,
+        controller_index: usize,
+        worker_index: usize,
+        outcome: u8,
+    ) {
+        self.track_owned_machines(controller_index);
         let id = self.workers[worker_index].name.clone();
         let controller = &mut self.controllers[controller_index];
         let Some(worker) = controller.machines.get_mut(&id) else {
@@ -203,18 +217,18 @@
         } else {
             1
         };
-        let list = if worker.fenced() {
+        let batch = if worker.fenced() {
             commands(&controller.view, &id, worker, CommandChannel::Direct)
         } else {
             Vec::new()
         };
-        worker.record_direct_starts(&list);
+        worker.record_direct_starts(&batch);
         let term = worker.term;
-        assert_no_cancelled_start(&self.controllers[controller_index].view, &list);
+        assert_no_cancelled_start(&self.controllers[controller_index].view, &batch);
         if self.workers[worker_index].outbound_partition {
             return;
         }
-        if fate.is_multiple_of(4)
+        if outcome.is_multiple_of(4)
             || !self.workers[worker_index].alive
             || self.workers[worker_index].hung
         {
@@ -222,34 +236,35 @@
                 worker_index,
                 term,
                 session,
-                list,
+                batch,
             ));
             return;
         }
-        self.deliver_commands(worker_index, term, session, &list);
-        if fate % 4 == 1 {
-            return; // carried out, but the answer is lost
+        self.deliver_commands(worker_index, term, session, &batch);
+        if outcome % 4 == 1 {
+            return; // The commands are executed, but the reply is lost.
         }
         let reply = self.heartbeat(worker_index);
         let now = self.now;
         if let Some(worker) = self.controllers[controller_index].machines.get_mut(&id) {
-            worker.acknowledge_direct(&list);
+            worker.acknowledge_direct(&batch);
             worker.apply_heartbeat(&reply, HeartbeatSource::CommandReply, now);
         }
     }
 
+    /// Executes commands on a worker unless their fencing token or session is outdated.
     pub(crate) fn deliver_commands(
         &mut self,
         worker_index: usize,
         term: u64,
         session: u64,
-        list: &[Command],
+        batch: &[Command],
     ) {
         let worker = &mut self.workers[worker_index];
         if !worker.alive || term < worker.token || session != worker.session {
             return;
         }
         worker.token = term;
-        self.execute(worker_index, list);
+        self.execute(worker_index, batch);
     }
 }
--- a/tests/invariants/world.rs
+++ b/tests/invariants/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: its parts, time, and what users and tasks do.
+//! The simulated world: its components, its clock, and the actions of users and tasks.
 
 use crate::common::{self, Store};
 use coppergw::autoscaler::model::{MachineRecord, MachineState};
@@ -15,21 +15,24 @@
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 use std::collections::BTreeMap;
 
-pub(crate) const LEASE: Micros = 18 * SECOND;
-pub(crate) const CANCEL: Micros = 48 * SECOND;
-/// A gang of which not all came exits after this.
-pub(crate) const GANG_WAIT: Micros = 40 * SECOND;
-pub(crate) const CONTROLLERS: usize = 3;
-/// One job in so many is a gang, of so many tasks.
-pub(crate) const GANG_EVERY: u32 = 5;
-pub(crate) const GANG_TASKS: u32 = 3;
+/// Duration of a lease of a worker.
+pub(crate) const LEASE_DURATION: Micros = 18 * SECOND;
+/// Time within which the tasks of a cancelled job end.
+pub(crate) const CANCEL_TIMEOUT: Micros = 48 * SECOND;
+/// Time after which a task of an incomplete gang exits.
+pub(crate) const GANG_WAIT_TIMEOUT: Micros = 40 * SECOND;
+pub(crate) const CONTROLLER_COUNT: usize = 3;
+/// Every job whose number is a multiple of this is a gang.
+pub(crate) const JOBS_PER_GANG: u32 = 5;
+/// Tasks of each gang.
+pub(crate) const TASKS_PER_GANG: u32 = 3;
 
 #[derive(Clone)]
 pub(crate) struct SimulatedTask {
     pub(crate) attempt: u64,
     pub(crate) status: TaskStatus,
     pub(crate) reason: Option<ExitReason>,
-    pub(crate) since: Micros,
+    pub(crate) started_at: Micros,
 }
 
 impl SimulatedTask {
@@ -56,10 +59,11 @@
     pub(crate) name: String,
     pub(crate) lease: u64,
     pub(crate) view: ClusterState,
-    pub(crate) seen: usize,
-    /// When it heard of everything last: up to then it knows of every cancellation.
+    /// Number of entries of the change log that are in the view.
+    pub(crate) log_position: usize,
+    /// Time of the last complete read: the view holds each cancellation confirmed up to then.
     pub(crate) synced_at: Micros,
-    /// The state service refuses it.
+    /// Whether the state service refuses this controller.
     pub(crate) state_service_refuses: bool,
     pub(crate) machines: BTreeMap<MachineId, WorkerState>,
 }
@@ -77,14 +81,18 @@
     pub(crate) workers: Vec<SimulatedWorker>,
     pub(crate) controllers: Vec<SimulatedController>,
     pub(crate) delayed: Vec<DelayedMessage>,
-    pub(crate) leases: u64,
-    pub(crate) jobs: u32,
+    /// Id of the lease that was granted last.
+    pub(crate) last_lease_id: u64,
+    /// Number of jobs submitted.
+    pub(crate) job_count: u32,
+    /// Names of the tasks that completed.
     pub(crate) completed: HashSet<String>,
+    /// Finished jobs, and whether each is done rather than cancelled.
     pub(crate) finished_jobs: HashMap<String, bool>,
-    /// Jobs whose cancellation was confirmed to their users, and when.
+    /// Time at which the cancellation of a job was confirmed to its user.
     pub(crate) cancelled_at: HashMap<String, Micros>,
-    /// Tasks of gangs that began once their gang was complete.
-    pub(crate) gangs_started: u32,
+    /// Number of tasks that started to run once their gang was complete.
+    pub(crate) started_gang_tasks: u32,
 }
 
 pub(crate) fn machine_type() -> MachineType {
@@ -112,23 +120,23 @@
             workers: Vec::new(),
             controllers: Vec::new(),
             delayed: Vec::new(),
-            leases: 0,
-            jobs: 0,
+            last_lease_id: 0,
+            job_count: 0,
             completed: HashSet::new(),
             finished_jobs: HashMap::new(),
             cancelled_at: HashMap::new(),
-            gangs_started: 0,
+            started_gang_tasks: 0,
         };
         world.store.put(keys::TYPES.into(), &vec![machine_type()]);
         for _ in 0..4 {
             world.add_machine();
         }
-        for controller_index in 0..CONTROLLERS {
+        for controller_index in 0..CONTROLLER_COUNT {
             world.controllers.push(SimulatedController {
                 name: format!("n{controller_index}"),
                 lease: 0,
                 view: ClusterState::default(),
-                seen: 0,
+                log_position: 0,
                 synced_at: 0,
                 state_service_refuses: false,
                 machines: BTreeMap::new(),
@@ -167,11 +175,12 @@
         });
     }
 
-    pub(crate) fn pass_time(&mut self, span: Micros) {
+    /// Advances the clock and expires leases of workers.
+    pub(crate) fn advance_time(&mut self, span: Micros) {
         self.now += span;
-        self.check_cancelled_are_gone();
+        self.check_cancelled_tasks_ended();
         for worker in &mut self.workers {
-            if worker.alive && self.now - worker.lease_renewed_at > LEASE {
+            if worker.alive && self.now - worker.lease_renewed_at > LEASE_DURATION {
                 worker.session += 1;
                 worker.lease_renewed_at = self.now;
                 worker.tasks.clear();
@@ -179,29 +188,30 @@
         }
     }
 
-    /// A job is cancelled, and its user is told at that moment.
+    /// Cancels a job and confirms it to its user at once.
     pub(crate) fn cancel(&mut self, job: &str) {
         let (value, _) = &self.store.keys[&keys::job(job)];
-        let JobRecord(mut spec, first): JobRecord = value.deserialized().expect("job");
+        let JobRecord(mut spec, block): JobRecord = value.deserialized().expect("job");
         spec.cancelled = true;
-        self.store.put(keys::job(job), &JobRecord(spec, first));
+        self.store.put(keys::job(job), &JobRecord(spec, block));
         self.cancelled_at.entry(job.to_string()).or_insert(self.now);
     }
 
-    /// A task completes; a gang does as a whole.
+    /// Completes a task, or all tasks of its gang at once.
     pub(crate) fn complete(&mut self, task: &str, attempt: u64) {
         let (job, _) = task.split_once('/').expect("task name");
-        let gang = is_gang(job);
+        let is_in_gang = is_gang(job);
         let is_running_task = |name: &str, running: &SimulatedTask| {
-            name.split_once('/').is_some_and(|(j, _)| j == job)
+            name.split_once('/')
+                .is_some_and(|(name_job, _)| name_job == job)
                 && running.attempt == attempt
                 && running.status == TaskStatus::Running
         };
-        let able = self
+        let responsive = self
             .workers
             .iter()
             .filter(|worker| worker.alive && !worker.hung);
-        let there: usize = able
+        let running_peers: usize = responsive
             .map(|worker| {
                 worker
                     .tasks
@@ -210,15 +220,19 @@
                     .count()
             })
             .sum();
-        if gang && there < GANG_TASKS as usize {
-            // The others will notice.
+        if is_in_gang && running_peers < TASKS_PER_GANG as usize {
+            // The gang is incomplete; its running tasks exit when the gangs are advanced.
             return;
         }
         for worker in self.workers.iter_mut().filter(|worker| worker.alive) {
             for (name, running) in &mut worker.tasks {
-                let peer = gang && name.split_once('/').is_some_and(|(j, _)| j == job);
-                let hit = running.status == TaskStatus::Running && running.attempt == attempt;
-                if (name == task || peer) && hit {
+                let is_peer = is_in_gang
+                    && name
+                        .split_once('/')
+                        .is_some_and(|(name_job, _)| name_job == job);
+                let is_running_attempt =
+                    running.status == TaskStatus::Running && running.attempt == attempt;
+                if (name == task || is_peer) && is_running_attempt {
                     running.exit(ExitReason::Done);
                     self.completed.insert(name.clone());
                 }
@@ -227,8 +241,8 @@
     }
 }
 
-/// That a job is a gang is in its number, so that it is known when its record is gone.
+/// Returns whether a job is a gang. The job number encodes it, so that it can be told after the record is deleted.
 pub(crate) fn is_gang(job: &str) -> bool {
     let number = job.strip_prefix("req-").and_then(|n| n.parse().ok());
-    number.is_some_and(|n: u32| n.is_multiple_of(GANG_EVERY))
+    number.is_some_and(|n: u32| n.is_multiple_of(JOBS_PER_GANG))
 }
