--- a/tests/concurrent_failures/digests.rs
+++ b/tests/concurrent_failures/digests.rs
@@ -1,4 +1,4 @@
-//! What a cancellation digest has to be to count.
+//! Conditions under which a cancellation digest is accepted.
 
 use crate::common::{Store, spec};
 use crate::world::job_id;
@@ -12,23 +12,23 @@
 use coppergw::wire::peer::{CancellationDigest, PeerHeartbeat};
 use coppergw::wire::user::JobKind;
 
-/// A question and the situation in which it is answered.
+/// A peer request and the state of the controllers when it is answered.
 #[derive(Clone, Copy)]
 struct Case {
     after: u64,
     max_entries: usize,
     loaded: bool,
     state_service_reachable: bool,
-    asker_reaches_state_service: bool,
+    requester_reaches_state_service: bool,
 }
 
-/// The peer has no state service, and the asker does.
-const PLAIN: Case = Case {
+/// The peer does not reach the state service, and the requester does.
+const DEFAULT_CASE: Case = Case {
     after: 1,
     max_entries: 9,
     loaded: true,
     state_service_reachable: false,
-    asker_reaches_state_service: true,
+    requester_reaches_state_service: true,
 };
 
 fn cancelled_job() -> JobRecord {
@@ -37,8 +37,8 @@
     JobRecord(job, TaskBlock(vec![TaskState::Waiting(0)]))
 }
 
-/// Three jobs, cancelled by the revisions 2, 3 and 4.
-fn view_of_three() -> ClusterState {
+/// Returns a view with three jobs that were cancelled by the revisions 2, 3 and 4.
+fn view_with_three_cancellations() -> ClusterState {
     let mut view = ClusterState::default();
     let mut store = Store::default();
     store.put(keys::PRIORITY_BOOSTS.into(), &1);
@@ -51,24 +51,24 @@
     view
 }
 
-/// What a controller of age one second answers.
+/// Returns the digest of a controller that started one second ago.
 fn digest(case: Case) -> CancellationDigest {
     let source = DigestSource {
-        view: &view_of_three(),
+        view: &view_with_three_cancellations(),
         loaded: case.loaded,
         state_service_reachable: case.state_service_reachable,
         process_age: SECOND,
         max_entries: case.max_entries,
     };
-    let question = PeerHeartbeat {
+    let request = PeerHeartbeat {
         revision: case.after,
-        state_service_reachable: case.asker_reaches_state_service,
+        state_service_reachable: case.requester_reaches_state_service,
         ..PeerHeartbeat::default()
     };
-    cancellation_digest(&source, &question)
+    cancellation_digest(&source, &request)
 }
 
-/// An answer of the peer "b", which does not reach the state service.
+/// Returns an answer of the peer "b", which does not reach the state service.
 fn answer_with(digest: CancellationDigest) -> PeerHeartbeat {
     PeerHeartbeat {
         node: "b".into(),
@@ -77,7 +77,7 @@
     }
 }
 
-/// The answer to a question to the peer "b".
+/// Returns the exchange of a request with the peer "b".
 fn exchange(
     (asked_at, answered_at): (Micros, Micros),
     after_revision: u64,
@@ -92,52 +92,56 @@
     }
 }
 
-/// The watermark by the peer "b" alone, in seconds.
+/// Returns the watermark that follows from the peer "b" alone, in seconds.
 fn watermark(watermarks: &CancellationWatermarks) -> u64 {
     watermarks.cancellation_watermark(0, ["b"].into_iter(), 9) / SECOND
 }
 
-/// How many cancellations are acted on, and the watermark in seconds, after a question that was asked at 20 s.
-fn recorded(answer: &PeerHeartbeat, after: u64) -> (usize, u64) {
+/// Returns the number of cancellations merged and the watermark in seconds, for a request sent at 20 s.
+fn recorded(answer: &PeerHeartbeat, after_revision: u64) -> (usize, u64) {
     let mut watermarks = CancellationWatermarks::default();
-    let exchange = exchange((20 * SECOND, 21 * SECOND), after, answer);
+    let exchange = exchange((20 * SECOND, 21 * SECOND), after_revision, answer);
     let cancelled = watermarks.record_answer(&exchange).len();
     (cancelled, watermark(&watermarks))
 }
 
-/// Nothing is acted on, and nothing vouched for.
-const NOTHING: (usize, u64) = (0, 0);
+/// No cancellation is merged, and the watermark does not advance.
+const NO_EFFECT: (usize, u64) = (0, 0);
 
-/// A digest counts only if it is complete, fits the question and comes from a controller that is without the state
-/// service as well; what it names is acted on in any case, if it fits.
+/// A digest advances the watermark only if it is complete, matches the request and comes from a controller that does
+/// not reach the state service either. The cancellations of a matching digest are merged in any case.
 #[test]
-fn what_a_digest_has_to_be() {
-    let plain = |after, max_entries| {
+fn digest_acceptance() {
+    let answer_to = |after, max_entries| {
         answer_with(digest(Case {
             after,
             max_entries,
-            ..PLAIN
+            ..DEFAULT_CASE
         }))
     };
-    assert_eq!(recorded(&plain(1, 9), 1), (3, 20));
-    assert_eq!(recorded(&plain(3, 9), 3), (1, 20));
-    assert_eq!(recorded(&plain(4, 9), 4), (0, 20));
-    assert_eq!(recorded(&plain(1, 2), 1), (2, 0), "cut");
-    assert_eq!(recorded(&plain(2, 9), 1), NOTHING, "of another question");
+    assert_eq!(recorded(&answer_to(1, 9), 1), (3, 20));
+    assert_eq!(recorded(&answer_to(3, 9), 3), (1, 20));
+    assert_eq!(recorded(&answer_to(4, 9), 4), (0, 20));
+    assert_eq!(recorded(&answer_to(1, 2), 1), (2, 0), "cut");
+    assert_eq!(
+        recorded(&answer_to(2, 9), 1),
+        NO_EFFECT,
+        "digest of another request"
+    );
     let changed = |change: &dyn Fn(&mut PeerHeartbeat)| {
-        let mut answer = plain(1, 9);
+        let mut answer = answer_to(1, 9);
         change(&mut answer);
         recorded(&answer, 1)
     };
     assert_eq!(
         changed(&|answer| answer.node = "c".into()),
-        NOTHING,
-        "somebody else"
+        NO_EFFECT,
+        "answer of another node"
     );
     assert_eq!(
         changed(&|answer| answer.digest = None),
-        NOTHING,
-        "the version before"
+        NO_EFFECT,
+        "no digest, as from the previous version"
     );
     assert_eq!(
         changed(&|answer| answer.state_service_reachable = true),
@@ -152,79 +156,92 @@
     };
     assert_eq!(
         with_entry("req-000009", 1),
-        NOTHING,
-        "not after what was asked about"
+        NO_EFFECT,
+        "entry not after the requested revision"
     );
-    assert_eq!(with_entry("../final", 9), NOTHING, "no id");
+    assert_eq!(with_entry("../final", 9), NO_EFFECT, "invalid job id");
 }
 
-/// Promises are given among those without the service only, and none counts for longer than we would give.
+/// A confirmation hold is granted only between controllers that do not reach the state service, and none counts for
+/// longer than `CONFIRMATION_HOLD`.
 #[test]
-fn what_a_promise_has_to_be() {
-    let case = |max_entries, state_service_reachable, asker_reaches_state_service| Case {
+fn confirmation_hold_acceptance() {
+    let case = |max_entries, state_service_reachable, requester_reaches_state_service| Case {
         after: 2,
         max_entries,
         loaded: true,
         state_service_reachable,
-        asker_reaches_state_service,
+        requester_reaches_state_service,
     };
-    let hold = |max_entries, reachable, asker_reaches| {
-        digest(case(max_entries, reachable, asker_reaches)).hold
+    let hold = |max_entries, reachable, requester_reaches| {
+        digest(case(max_entries, reachable, requester_reaches)).hold
     };
     assert_eq!(hold(9, false, false), CONFIRMATION_HOLD);
     assert_eq!(hold(9, true, false), 0);
-    assert_eq!(hold(9, false, true), 0, "it needs none");
+    assert_eq!(
+        hold(9, false, true),
+        0,
+        "the requester reaches the state service"
+    );
     assert_eq!(hold(1, false, false), 0, "cut");
-    let of_nothing = digest(Case {
+    let for_revision_0 = digest(Case {
         after: 0,
         ..case(9, false, false)
     });
-    assert_eq!((of_nothing.hold, of_nothing.cancelled.len()), (0, 0));
     assert_eq!(
-        recorded(&answer_with(of_nothing), 0),
-        NOTHING,
-        "it asks about nothing"
+        (for_revision_0.hold, for_revision_0.cancelled.len()),
+        (0, 0)
     );
-    let mut promise = digest(case(9, false, false));
-    assert_eq!(recorded(&answer_with(promise.clone()), 2), (2, 31));
-    promise.hold = 1000 * CONFIRMATION_HOLD;
-    assert_eq!(recorded(&answer_with(promise), 2), (2, 31));
+    assert_eq!(
+        recorded(&answer_with(for_revision_0), 0),
+        NO_EFFECT,
+        "request for revision 0"
+    );
+    let mut held_digest = digest(case(9, false, false));
+    assert_eq!(recorded(&answer_with(held_digest.clone()), 2), (2, 31));
+    held_digest.hold = 1000 * CONFIRMATION_HOLD;
+    assert_eq!(recorded(&answer_with(held_digest), 2), (2, 31));
 }
 
-/// An incarnation that read nothing says how old it is, and counts only if it started within a promise.
+/// An incarnation that has not read the state service reports its age. Its digest counts only if it started within
+/// the confirmation hold of the previous incarnation.
 #[test]
-fn an_incarnation_that_read_nothing_counts_only_within_a_promise() {
+fn unloaded_incarnation_counts_only_within_a_hold() {
     let without_state = Case {
-        asker_reaches_state_service: false,
-        ..PLAIN
+        requester_reaches_state_service: false,
+        ..DEFAULT_CASE
     };
-    let young = digest(Case {
+    let unloaded = digest(Case {
         loaded: false,
         ..without_state
     });
     assert_eq!(
-        (young.cancelled.len(), young.process_age),
+        (unloaded.cancelled.len(), unloaded.process_age),
         (0, Some(SECOND))
     );
-    assert_eq!(recorded(&answer_with(young.clone()), 1), NOTHING);
-    let mut ancient = young.clone();
-    ancient.process_age = Some(u64::MAX);
-    assert_eq!(recorded(&answer_with(ancient), 1), NOTHING);
-    let after_promise = |at: Micros| {
+    assert_eq!(recorded(&answer_with(unloaded.clone()), 1), NO_EFFECT);
+    let mut old = unloaded.clone();
+    old.process_age = Some(u64::MAX);
+    assert_eq!(recorded(&answer_with(old), 1), NO_EFFECT);
+    let watermark_after_restart = |at: Micros| {
         let mut watermarks = CancellationWatermarks::default();
-        let promise = answer_with(digest(without_state));
-        watermarks.record_answer(&exchange((20 * SECOND, 21 * SECOND), 1, &promise));
-        let restarted = answer_with(young.clone());
+        let answer_with_hold = answer_with(digest(without_state));
+        watermarks.record_answer(&exchange((20 * SECOND, 21 * SECOND), 1, &answer_with_hold));
+        let restarted = answer_with(unloaded.clone());
         watermarks.record_answer(&exchange((at, at), 1, &restarted));
         watermark(&watermarks)
     };
-    assert_eq!(after_promise(32 * SECOND), 43);
-    assert_eq!(after_promise(34 * SECOND), 31, "it started too late");
+    assert_eq!(watermark_after_restart(32 * SECOND), 43);
+    assert_eq!(
+        watermark_after_restart(34 * SECOND),
+        31,
+        "restarted after the hold"
+    );
 }
 
-/// A view that dropped old cancellations says so.
+/// A view that has dropped old cancellations gives an incomplete digest for revisions before the dropped ones.
 #[test]
-fn a_list_that_was_shortened_vouches_only_for_what_it_still_holds() {
+fn view_without_old_cancellations_gives_incomplete_digest() {
     let mut view = ClusterState::default();
     let value = coppergw::wire::to_value(&cancelled_job());
     for number in 1..=20_005u64 {
@@ -238,11 +255,11 @@
             process_age: SECOND,
             max_entries: 100_000,
         };
-        let question = PeerHeartbeat {
+        let request = PeerHeartbeat {
             revision,
             ..PeerHeartbeat::default()
         };
-        cancellation_digest(&source, &question).complete
+        cancellation_digest(&source, &request).complete
     };
     assert!(!complete(0));
     assert!(!complete(4));
--- a/tests/concurrent_failures/world.rs
+++ b/tests/concurrent_failures/world.rs
@@ -1,6 +1,6 @@
-//! Three controllers, their workers and the state service in a simulated world. The service refuses one controller,
-//! or all of them, while others confirm cancellations, answers come late, and controllers end. The world
-//! checks at every step that no task outlives its cancellation.
+//! Three simulated controllers, their workers and the state service. The service refuses one controller, or all of
+//! them, while others confirm cancellations, answers are delayed, and controllers restart. Each step checks that no
+//! task of a cancelled job runs past its cancellation timeout.
 
 use crate::common::{LIMITS, Store, spec};
 use coppergw::jobs::commit::cancel;
@@ -17,25 +17,26 @@
 use coppergw::wire::user::{JobKind, Status};
 use coppergw::workers::may_answer;
 
-pub(crate) const NAMES: [&str; 3] = ["a", "b", "c"];
-/// Lease of a worker's task.
-pub(crate) const LEASE: Micros = 26 * SECOND;
-/// A cancelled job's tasks are gone this long after the confirmation at the latest.
-pub(crate) const CANCEL: Micros = 52 * SECOND;
-/// Tasks, each of a job of its own; the owner of the machine of task k is controller k modulo 3.
-pub(crate) const TASKS: usize = 24;
+pub(crate) const NODE_NAMES: [&str; 3] = ["a", "b", "c"];
+/// Duration of the lease of a task.
+pub(crate) const LEASE_DURATION: Micros = 26 * SECOND;
+/// Time after the confirmation within which the tasks of a cancelled job end.
+pub(crate) const CANCEL_TIMEOUT: Micros = 52 * SECOND;
+/// Number of tasks, each in a separate job. Controller k modulo 3 owns the machine of task k.
+pub(crate) const TASK_COUNT: usize = 24;
 
-/// A read of the state service that is under way.
+/// A pending read of the state service.
 struct Read {
     began_at: Micros,
-    /// What it found: the revision, and how much of the log there was.
+    /// Revision that was read.
     revision: u64,
+    /// Length of the change log at that revision.
     log_length: usize,
 }
 
-/// A question to a peer that is under way.
+/// A pending request to a peer.
 #[derive(Clone)]
-pub(crate) struct Question {
+pub(crate) struct PeerRequest {
     to: usize,
     asked_at: Micros,
     heartbeat: PeerHeartbeat,
@@ -45,17 +46,17 @@
 pub(crate) struct Controller {
     started_at: Micros,
     pub view: ClusterState,
-    /// How much of the log is in the view.
+    /// Number of entries of the change log that are in the view.
     log_position: usize,
     pub loaded: bool,
-    /// When the read began that showed the view to be complete.
+    /// Start time of the last read that completed the view.
     last_read_at: Micros,
     watermarks: CancellationWatermarks,
-    /// Whether the state service refuses it alone.
+    /// Whether the state service refuses this controller alone.
     pub refused: bool,
     read: Option<Read>,
-    pub questions: Vec<Question>,
-    /// Until then it promised to confirm no cancellation.
+    pub peer_requests: Vec<PeerRequest>,
+    /// End of the confirmation hold: this controller confirms no cancellation before.
     held_until: Micros,
 }
 
@@ -71,24 +72,24 @@
             watermarks: CancellationWatermarks::default(),
             refused: false,
             read: None,
-            questions: Vec::new(),
+            peer_requests: Vec::new(),
         }
     }
 }
 
 pub(crate) struct Task {
-    /// When the worker's lease ends it.
+    /// Time at which the lease of the worker expires and the task ends.
     lease_until: Micros,
-    pub gone: bool,
+    pub ended: bool,
 }
 
-/// Whether digests between controllers hold all cancellations or are cut.
+/// Whether digests between controllers hold all cancellations or are truncated.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DigestSize {
-    /// They hold one cancellation only.
-    One,
-    /// They hold all that there are.
-    Ample,
+    /// Digests hold one cancellation.
+    OneEntry,
+    /// Digests hold all cancellations.
+    Complete,
 }
 
 pub(crate) struct World {
@@ -97,14 +98,14 @@
     pub outage: bool,
     pub controllers: Vec<Controller>,
     pub tasks: Vec<Task>,
-    /// When a user was told that the job of each task is cancelled.
+    /// Time at which the cancellation of the job of each task was confirmed to a user.
     pub confirmed_at: Vec<Option<Micros>>,
     digest_size: DigestSize,
-    /// How often a task was kept alive in an outage.
-    pub kept_in_outage: u32,
+    /// Number of task leases that were renewed during an outage.
+    pub renewals_in_outage: u32,
 }
 
-/// Id of the job of a task.
+/// Returns the id of the job of a task.
 pub(crate) fn job_id(task: usize) -> String {
     format!("req-{task:06}")
 }
@@ -112,7 +113,7 @@
 impl World {
     pub(crate) fn new(digest_size: DigestSize) -> World {
         let mut store = Store::default();
-        for task in 0..TASKS {
+        for task in 0..TASK_COUNT {
             let placement = Placement {
                 attempt: 1,
                 machine: format!("m-{task}").as_str().into(),
@@ -127,18 +128,18 @@
         }
         let now = 1000 * SECOND;
         let task = || Task {
-            lease_until: now + LEASE,
-            gone: false,
+            lease_until: now + LEASE_DURATION,
+            ended: false,
         };
         let mut world = World {
             now,
             store,
             outage: false,
             controllers: (0..3).map(|_| Controller::started(now)).collect(),
-            tasks: (0..TASKS).map(|_| task()).collect(),
-            confirmed_at: vec![None; TASKS],
+            tasks: (0..TASK_COUNT).map(|_| task()).collect(),
+            confirmed_at: vec![None; TASK_COUNT],
             digest_size,
-            kept_in_outage: 0,
+            renewals_in_outage: 0,
         };
         for node in 0..3 {
             world.begin_read(node);
@@ -147,14 +148,14 @@
         world
     }
 
-    /// A controller ends and is back within moments.
+    /// Restarts a controller, which loses its state.
     pub(crate) fn restart(&mut self, node: usize) {
         let refused = self.controllers[node].refused;
         self.controllers[node] = Controller::started(self.now);
         self.controllers[node].refused = refused;
     }
 
-    /// Whether a controller believes that it reaches the state service.
+    /// Returns whether a controller considers the state service reachable.
     fn state_service_reachable(&self, node: usize) -> bool {
         let controller = &self.controllers[node];
         controller.loaded && self.now - controller.last_read_at < 3 * SECOND
@@ -174,14 +175,14 @@
         }
     }
 
-    /// The answer arrives, perhaps much later than it was given.
+    /// Delivers the answer to the pending read, possibly long after the read.
     pub(crate) fn end_read(&mut self, node: usize) {
         let controller = &mut self.controllers[node];
         let Some(read) = controller.read.take() else {
             return;
         };
-        let news = self.store.log.get(controller.log_position..read.log_length);
-        for (revision, key, value) in news.unwrap_or_default() {
+        let entries = self.store.log.get(controller.log_position..read.log_length);
+        for (revision, key, value) in entries.unwrap_or_default() {
             match value {
                 Some(value) => controller.view.put(key, value, *revision),
                 None => controller.view.delete(key, *revision),
@@ -193,7 +194,7 @@
         controller.last_read_at = controller.last_read_at.max(read.began_at);
     }
 
-    /// A user cancels a job; a controller that reaches the state service confirms it at once.
+    /// Cancels a job for a user. A controller that reaches the state service confirms it at once.
     pub(crate) fn cancel(&mut self, node: usize, task: usize) {
         let controller = &self.controllers[node];
         if !self.reaches_state_service(node)
@@ -207,19 +208,19 @@
         self.end_read(node);
         let view = &self.controllers[node].view;
         let transaction = cancel(view, &job_id(task).as_str().into(), LIMITS);
-        let transaction = transaction.expect("the job is there");
-        assert!(self.store.apply(&transaction), "nobody else writes");
+        let transaction = transaction.expect("the job exists");
+        assert!(self.store.apply(&transaction), "no other controller writes");
         let revision = self.store.rev;
         for mutation in &transaction.mutations {
             if let Mutation::Put { key, value, .. } = mutation {
                 self.controllers[node].view.put(key, value, revision);
             }
         }
-        self.ask_state(node, task);
+        self.query_status(node, task);
     }
 
-    /// A user asks how a job is: `cancelled` may come from memory.
-    pub(crate) fn ask_state(&mut self, node: usize, task: usize) {
+    /// Answers a status query of a user. `cancelled` may be answered from the view.
+    pub(crate) fn query_status(&mut self, node: usize, task: usize) {
         let controller = &self.controllers[node];
         let status = answer(&controller.view, &job_id(task));
         if status.is_some_and(|answer| answer.status == Status::Cancelled)
@@ -229,16 +230,16 @@
         }
     }
 
-    /// A controller asks another for its digest.
-    pub(crate) fn ask_peer(&mut self, node: usize, to: usize) {
+    /// Sends a request for a digest to a peer.
+    pub(crate) fn send_peer_request(&mut self, node: usize, to: usize) {
         let heartbeat = PeerHeartbeat {
-            node: NAMES[node].into(),
+            node: NODE_NAMES[node].into(),
             state_service_reachable: self.state_service_reachable(node),
             revision: self.controllers[node].view.revision,
             ..PeerHeartbeat::default()
         };
         let asked_at = self.now;
-        self.controllers[node].questions.push(Question {
+        self.controllers[node].peer_requests.push(PeerRequest {
             to,
             asked_at,
             heartbeat,
@@ -246,19 +247,22 @@
         });
     }
 
-    /// Whoever runs under that name now answers a question that arrives.
-    pub(crate) fn give_answer(&mut self, node: usize, nth: usize) {
+    /// Delivers a request to the current incarnation of the peer, which answers it.
+    pub(crate) fn answer_peer_request(&mut self, node: usize, index: usize) {
         let max_entries = match self.digest_size {
-            DigestSize::One => 1,
-            DigestSize::Ample => 100,
+            DigestSize::OneEntry => 1,
+            DigestSize::Complete => 100,
         };
-        let count = self.controllers[node].questions.len().max(1);
-        let question = self.controllers[node].questions.get(nth % count).cloned();
-        let Some(question) = question.filter(|question| question.answer.is_none()) else {
+        let count = self.controllers[node].peer_requests.len().max(1);
+        let request = self.controllers[node]
+            .peer_requests
+            .get(index % count)
+            .cloned();
+        let Some(request) = request.filter(|request| request.answer.is_none()) else {
             return;
         };
-        let peer = &self.controllers[question.to];
-        let state_service_reachable = self.state_service_reachable(question.to);
+        let peer = &self.controllers[request.to];
+        let state_service_reachable = self.state_service_reachable(request.to);
         let source = DigestSource {
             view: &peer.view,
             loaded: peer.last_read_at > 0,
@@ -266,90 +270,92 @@
             process_age: self.now - peer.started_at,
             max_entries,
         };
-        let digest = cancellation_digest(&source, &question.heartbeat);
+        let digest = cancellation_digest(&source, &request.heartbeat);
         let held_until = held_until(&digest, self.now).max(peer.held_until);
         let answer = PeerHeartbeat {
-            node: NAMES[question.to].into(),
+            node: NODE_NAMES[request.to].into(),
             state_service_reachable,
             revision: peer.view.revision,
             digest: Some(digest),
             ..PeerHeartbeat::default()
         };
-        self.controllers[question.to].held_until = held_until;
-        self.controllers[node].questions[nth % count].answer = Some(answer);
+        self.controllers[request.to].held_until = held_until;
+        self.controllers[node].peer_requests[index % count].answer = Some(answer);
     }
 
-    /// The answer arrives.
-    pub(crate) fn take_answer(&mut self, node: usize, nth: usize) {
+    /// Delivers the answer to a request.
+    pub(crate) fn receive_answer(&mut self, node: usize, index: usize) {
         let answered_at = self.now;
         let controller = &mut self.controllers[node];
-        let count = controller.questions.len().max(1);
-        let question = controller.questions.get(nth % count);
-        if question.is_none_or(|question| question.answer.is_none()) {
+        let count = controller.peer_requests.len().max(1);
+        let request = controller.peer_requests.get(index % count);
+        if request.is_none_or(|request| request.answer.is_none()) {
             return;
         }
-        let question = controller.questions.remove(nth % count);
+        let request = controller.peer_requests.remove(index % count);
         let exchange = DigestExchange {
-            peer: NAMES[question.to],
-            asked_at: question.asked_at,
+            peer: NODE_NAMES[request.to],
+            asked_at: request.asked_at,
             answered_at,
-            after_revision: question.heartbeat.revision,
-            answer: &question.answer.expect("answered"),
+            after_revision: request.heartbeat.revision,
+            answer: &request.answer.expect("answered"),
         };
         for (id, revision) in controller.watermarks.record_answer(&exchange) {
             controller.view.merge_cancelled(id, *revision);
         }
     }
 
-    /// A worker sends a heartbeat to the owner of its machine.
+    /// Sends a heartbeat of a worker to the owner of its machine.
     fn send_heartbeat(&mut self, task: usize) {
         let owner = task % 3;
-        let (state, controller) = (&mut self.tasks[task], &self.controllers[owner]);
-        if state.gone || !controller.loaded {
+        let (task_state, controller) = (&mut self.tasks[task], &self.controllers[owner]);
+        if task_state.ended || !controller.loaded {
             return;
         }
-        let peers = (0..3).filter(|peer| *peer != owner).map(|peer| NAMES[peer]);
+        let peers = (0..3)
+            .filter(|peer| *peer != owner)
+            .map(|peer| NODE_NAMES[peer]);
         let watermark =
             controller
                 .watermarks
                 .cancellation_watermark(controller.last_read_at, peers, self.now);
-        if !may_answer(LEASE, CANCEL, watermark, self.now) {
+        if !may_answer(LEASE_DURATION, CANCEL_TIMEOUT, watermark, self.now) {
             return;
         }
         if controller.view.jobs[job_id(task).as_str()].cancelled() {
-            state.gone = true;
+            task_state.ended = true;
         } else {
-            state.lease_until = self.now + LEASE;
-            self.kept_in_outage += u32::from(self.outage);
+            task_state.lease_until = self.now + LEASE_DURATION;
+            self.renewals_in_outage += u32::from(self.outage);
         }
     }
 
-    /// Every worker sends a heartbeat.
+    /// Sends a heartbeat of each worker.
     pub(crate) fn send_heartbeats(&mut self) {
-        (0..TASKS).for_each(|task| self.send_heartbeat(task));
+        (0..TASK_COUNT).for_each(|task| self.send_heartbeat(task));
     }
 
-    /// Time passes: leases end, and no task outlives its cancellation.
-    pub(crate) fn advance(&mut self, time: Micros) {
-        self.now += time;
+    /// Advances the clock, expires leases, and checks that no task of a cancelled job runs past `CANCEL_TIMEOUT`.
+    pub(crate) fn advance(&mut self, span: Micros) {
+        self.now += span;
         for (number, task) in self.tasks.iter_mut().enumerate() {
-            let end = task.lease_until.min(self.now);
+            let running_until = task.lease_until.min(self.now);
             let confirmed_at = self.confirmed_at[number].unwrap_or(self.now);
-            if !task.gone {
+            if !task.ended {
                 assert!(
-                    end <= confirmed_at + CANCEL,
-                    "{} outlives its cancellation",
+                    running_until <= confirmed_at + CANCEL_TIMEOUT,
+                    "tasks of {} run past their cancellation timeout",
                     job_id(number)
                 );
             }
-            task.gone |= task.lease_until < self.now;
+            task.ended |= task.lease_until < self.now;
         }
     }
 
-    /// One generated step: what happens, to whom, and how.
+    /// Executes one generated step: an operation, the controller that it affects, and an argument.
     pub(crate) fn step(&mut self, operation: u8, selector: u8, argument: u8) {
         let (node, to) = (selector as usize % 3, argument as usize % 3);
-        let task = argument as usize % TASKS;
+        let task = argument as usize % TASK_COUNT;
         match operation % 32 {
             0 => self.controllers[node].refused ^= true,
             1 => self.outage ^= true,
@@ -358,24 +364,25 @@
             6..=8 => self.end_read(node),
             9 => self.cancel(node, task),
             10 if selector >= 224 => self.controllers[node].loaded = false,
-            10 => self.ask_state(node, task),
-            11..=13 if node != to => self.ask_peer(node, to),
-            14..=16 => self.give_answer(node, argument as usize),
-            17..=19 => self.take_answer(node, argument as usize),
+            10 => self.query_status(node, task),
+            11..=13 if node != to => self.send_peer_request(node, to),
+            14..=16 => self.answer_peer_request(node, argument as usize),
+            17..=19 => self.receive_answer(node, argument as usize),
             20..=23 => self.advance(u64::from(argument) * SECOND / 64),
             _ => self.send_heartbeats(),
         }
     }
 
-    /// All ask each other and take in the answers, read, and answer their workers; a second passes.
+    /// Runs one round: all controllers exchange digests, read the state service and answer their workers, and one
+    /// second passes.
     pub(crate) fn round(&mut self) {
         for node in 0..3 {
-            self.controllers[node].questions.clear();
+            self.controllers[node].peer_requests.clear();
             for to in (0..3).filter(|to| *to != node) {
-                self.ask_peer(node, to);
-                let last = self.controllers[node].questions.len() - 1;
-                self.give_answer(node, last);
-                self.take_answer(node, last);
+                self.send_peer_request(node, to);
+                let last = self.controllers[node].peer_requests.len() - 1;
+                self.answer_peer_request(node, last);
+                self.receive_answer(node, last);
             }
             self.begin_read(node);
             self.end_read(node);
