--- a/tests/partitioned_machines.rs
+++ b/tests/partitioned_machines.rs
@@ -1,5 +1,5 @@
-//! Machines in an inbound partition: calls reach them, their heartbeats reach no controller. Nothing is placed on
-//! them, what they run is moved, and in the end they are replaced.
+//! Machines in an inbound partition: calls reach them, but their heartbeats reach no controller. No task is placed on
+//! them, their tasks are moved, and finally the machines are replaced.
 
 mod common;
 
@@ -15,10 +15,11 @@
 use std::collections::BTreeMap;
 
 const HEARTBEAT_INTERVAL: Micros = 5 * SECOND;
-const LEASE: Micros = 26 * SECOND;
-const TERM: u64 = 5;
+const LEASE_DURATION: Micros = 26 * SECOND;
+/// Term, and so fencing token, of the owner of the machine.
+const OWNER_TERM: u64 = 5;
 
-/// A worker that holds the fencing token it shows.
+/// A worker that reports the fencing token it holds.
 struct SimulatedWorker {
     sequence: u64,
     session: u64,
@@ -31,7 +32,7 @@
         SimulatedWorker {
             sequence: 0,
             session: 1,
-            token: TERM,
+            token: OWNER_TERM,
             preemption_notice_s: None,
         }
     }
@@ -52,122 +53,136 @@
         }
     }
 
-    fn send_heartbeat(&mut self, known: &mut WorkerState, now: Micros) {
-        known.apply_heartbeat(&self.next_heartbeat(), HeartbeatSource::Periodic, now);
+    fn send_heartbeat(&mut self, worker_state: &mut WorkerState, now: Micros) {
+        worker_state.apply_heartbeat(&self.next_heartbeat(), HeartbeatSource::Periodic, now);
     }
 
-    fn answer_call(&mut self, known: &mut WorkerState, now: Micros) {
-        known.apply_heartbeat(&self.next_heartbeat(), HeartbeatSource::CommandReply, now);
-        known.record_answered_probe(HEARTBEAT_INTERVAL, now);
+    fn answer_call(&mut self, worker_state: &mut WorkerState, now: Micros) {
+        worker_state.apply_heartbeat(&self.next_heartbeat(), HeartbeatSource::CommandReply, now);
+        worker_state.record_answered_probe(HEARTBEAT_INTERVAL, now);
     }
 }
 
-/// What the owner writes about one machine while the others send heartbeats.
-fn state_of(known: &WorkerState, before: MachineState, now: Micros) -> MachineState {
-    reported_state(known, before, inbound_partition(known, false, LEASE, now))
+/// Returns the state that the owner records for a machine while the other machines send heartbeats,
+/// so that the partition is not widespread.
+fn next_machine_state(
+    worker_state: &WorkerState,
+    before: MachineState,
+    now: Micros,
+) -> MachineState {
+    reported_state(
+        worker_state,
+        before,
+        inbound_partition(worker_state, false, LEASE_DURATION, now),
+    )
 }
 
-/// It answers calls and sends no heartbeats: within a lease nothing is placed on it, it drains, and in the end it is
+/// A machine that answers calls and sends no heartbeats gets no tasks within a lease, is drained, and is finally
 /// replaced. A heartbeat makes it schedulable again.
 #[test]
-fn one_that_never_reports_is_drained_and_in_the_end_returned() {
-    let (mut known, mut worker) = (WorkerState::new(TERM, 0), SimulatedWorker::new());
-    worker.send_heartbeat(&mut known, 0);
-    let mut drained = None;
-    let mut gone = None;
+fn machine_without_heartbeats_is_drained_and_replaced() {
+    let (mut worker_state, mut worker) = (WorkerState::new(OWNER_TERM, 0), SimulatedWorker::new());
+    worker.send_heartbeat(&mut worker_state, 0);
+    let mut drained_at = None;
+    let mut lost_at = None;
     let mut state = MachineState::Up;
     for second in 1..200 {
         let now = second * SECOND;
-        // As often as a silent machine is called; its lease ends its tasks, and a new session begins.
+        // The interval of calls to a machine without heartbeats. Its lease expires, its tasks end, and a new session
+        // begins.
         if second % 7 == 0 {
-            worker.session = 1 + now / LEASE;
-            worker.answer_call(&mut known, now);
+            worker.session = 1 + now / LEASE_DURATION;
+            worker.answer_call(&mut worker_state, now);
         }
-        state = state_of(&known, state, now);
+        state = next_machine_state(&worker_state, state, now);
         assert_eq!(
-            schedulable_session(&known, 1, false, (HEARTBEAT_INTERVAL, now)).is_none(),
-            known.inbound_partition()
-                || now >= known.heartbeat.last_contact_at + 2 * HEARTBEAT_INTERVAL
+            schedulable_session(&worker_state, 1, false, (HEARTBEAT_INTERVAL, now)).is_none(),
+            worker_state.inbound_partition()
+                || now >= worker_state.heartbeat.last_contact_at + 2 * HEARTBEAT_INTERVAL
         );
         if state == MachineState::Draining {
-            drained.get_or_insert(now);
+            drained_at.get_or_insert(now);
         }
         if state == MachineState::Lost {
-            gone.get_or_insert(now);
+            lost_at.get_or_insert(now);
         }
     }
     assert!(
-        drained.is_some_and(|at| at > LEASE && at < 2 * LEASE),
-        "{drained:?}"
+        drained_at.is_some_and(|at| at > LEASE_DURATION && at < 2 * LEASE_DURATION),
+        "{drained_at:?}"
     );
     assert!(
-        gone.is_some_and(|at| at > 2 * LEASE && at < 4 * LEASE),
-        "{gone:?}"
+        lost_at.is_some_and(|at| at > 2 * LEASE_DURATION && at < 4 * LEASE_DURATION),
+        "{lost_at:?}"
     );
-    worker.send_heartbeat(&mut known, 200 * SECOND);
+    worker.send_heartbeat(&mut worker_state, 200 * SECOND);
     assert_eq!(
-        state_of(&known, MachineState::Draining, 200 * SECOND),
+        next_machine_state(&worker_state, MachineState::Draining, 200 * SECOND),
         MachineState::Up
     );
     assert_eq!(
-        schedulable_session(&known, 1, false, (HEARTBEAT_INTERVAL, 200 * SECOND)),
+        schedulable_session(&worker_state, 1, false, (HEARTBEAT_INTERVAL, 200 * SECOND)),
         Some(worker.session)
     );
-    // A machine with a preemption notice goes on draining, and a quarantined one stays quarantined.
+    // A machine with a preemption notice stays draining, and a quarantined one stays quarantined.
     worker.preemption_notice_s = Some(9.0);
-    worker.send_heartbeat(&mut known, 201 * SECOND);
+    worker.send_heartbeat(&mut worker_state, 201 * SECOND);
     assert_eq!(
-        state_of(&known, MachineState::Draining, 201 * SECOND),
+        next_machine_state(&worker_state, MachineState::Draining, 201 * SECOND),
         MachineState::Draining
     );
-    let fresh = WorkerState::new(TERM, 0);
+    let worker_without_heartbeats = WorkerState::new(OWNER_TERM, 0);
     assert_eq!(
-        reported_state(&fresh, MachineState::Quarantined, InboundPartition::Drain),
+        reported_state(
+            &worker_without_heartbeats,
+            MachineState::Quarantined,
+            InboundPartition::Drain
+        ),
         MachineState::Quarantined
     );
 }
 
-/// A new owner of a draining machine has got no heartbeat of it yet: it leaves it draining.
+/// A new owner that has received no heartbeat of a draining machine leaves it draining.
 #[test]
-fn a_new_owner_does_not_take_it_for_well() {
-    let (mut known, mut worker) = (WorkerState::new(TERM, 0), SimulatedWorker::new());
-    worker.answer_call(&mut known, SECOND);
+fn new_owner_keeps_machine_draining_until_a_heartbeat() {
+    let (mut worker_state, mut worker) = (WorkerState::new(OWNER_TERM, 0), SimulatedWorker::new());
+    worker.answer_call(&mut worker_state, SECOND);
     assert_eq!(
-        state_of(&known, MachineState::Draining, SECOND),
+        next_machine_state(&worker_state, MachineState::Draining, SECOND),
         MachineState::Draining
     );
-    worker.send_heartbeat(&mut known, 2 * SECOND);
+    worker.send_heartbeat(&mut worker_state, 2 * SECOND);
     assert_eq!(
-        state_of(&known, MachineState::Draining, 2 * SECOND),
+        next_machine_state(&worker_state, MachineState::Draining, 2 * SECOND),
         MachineState::Up
     );
 }
 
-/// A controller that was suspended finds heartbeats of all its machines overdue. Those that are called before their
-/// heartbeats are read are not partitioned for that.
+/// A controller that was suspended finds the heartbeats of all its machines overdue. Machines that it calls before it
+/// reads their heartbeats do not count as partitioned.
 #[test]
-fn one_that_stood_still_takes_none_for_mute() {
-    let (mut known, mut worker) = (WorkerState::new(TERM, 0), SimulatedWorker::new());
-    worker.send_heartbeat(&mut known, 0);
-    let back = 40 * SECOND;
+fn resumed_controller_marks_no_machine_partitioned() {
+    let (mut worker_state, mut worker) = (WorkerState::new(OWNER_TERM, 0), SimulatedWorker::new());
+    worker.send_heartbeat(&mut worker_state, 0);
+    let resumed_at = 40 * SECOND;
     for second in 0..8 {
-        worker.answer_call(&mut known, back + second * SECOND);
+        worker.answer_call(&mut worker_state, resumed_at + second * SECOND);
     }
-    assert!(!known.inbound_partition());
-    worker.send_heartbeat(&mut known, back + 8 * SECOND);
-    worker.answer_call(&mut known, back + 14 * SECOND);
-    assert!(!known.inbound_partition());
+    assert!(!worker_state.inbound_partition());
+    worker.send_heartbeat(&mut worker_state, resumed_at + 8 * SECOND);
+    worker.answer_call(&mut worker_state, resumed_at + 14 * SECOND);
+    assert!(!worker_state.inbound_partition());
 }
 
-/// A worker that holds another owner's token is driven by that one.
+/// A worker that holds the fencing token of another owner takes its commands from that owner.
 #[test]
-fn one_that_shows_another_token_is_not_judged() {
-    let (mut known, mut worker) = (WorkerState::new(TERM, 0), SimulatedWorker::new());
-    worker.token = TERM - 1;
-    (1..9).for_each(|times| worker.answer_call(&mut known, times * 7 * SECOND));
-    assert!(!known.inbound_partition());
+fn machine_with_another_token_is_not_marked_partitioned() {
+    let (mut worker_state, mut worker) = (WorkerState::new(OWNER_TERM, 0), SimulatedWorker::new());
+    worker.token = OWNER_TERM - 1;
+    (1..9).for_each(|call| worker.answer_call(&mut worker_state, call * 7 * SECOND));
+    assert!(!worker_state.inbound_partition());
     assert_eq!(
-        inbound_partition(&known, false, LEASE, 900 * SECOND),
+        inbound_partition(&worker_state, false, LEASE_DURATION, 900 * SECOND),
         InboundPartition::None
     );
 }
@@ -175,52 +190,52 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(38), ..ProptestConfig::default() })]
 
-    /// Whatever comes when: a machine that sends a heartbeat within each lease is never replaced, and one is partitioned
-    /// only after it answered calls for at least two heartbeat intervals without a heartbeat.
+    /// For any order of heartbeats and answers, a machine that sends a heartbeat within each lease is never replaced, and
+    /// one counts as partitioned only after it answered calls for at least two heartbeat intervals without a heartbeat.
     #[test]
-    fn only_silence_beside_answers_counts(events in proptest::collection::vec((any::<bool>(), 1u64..8), 1..120)) {
-        let (mut known, mut worker) = (WorkerState::new(TERM, 0), SimulatedWorker::new());
-        let (mut now, mut last, mut calls) = (0, 0, 0);
-        worker.send_heartbeat(&mut known, 0);
-        for (heartbeat, after) in events {
-            now += after * SECOND;
-            if heartbeat {
-                worker.send_heartbeat(&mut known, now);
-                (last, calls) = (now, 0);
+    fn partition_requires_answers_without_heartbeats(events in proptest::collection::vec((any::<bool>(), 1u64..8), 1..120)) {
+        let (mut worker_state, mut worker) = (WorkerState::new(OWNER_TERM, 0), SimulatedWorker::new());
+        let (mut now, mut last_heartbeat_at, mut answered_calls) = (0, 0, 0);
+        worker.send_heartbeat(&mut worker_state, 0);
+        for (is_heartbeat, delay_s) in events {
+            now += delay_s * SECOND;
+            if is_heartbeat {
+                worker.send_heartbeat(&mut worker_state, now);
+                (last_heartbeat_at, answered_calls) = (now, 0);
             } else {
-                worker.answer_call(&mut known, now);
-                calls += 1;
+                worker.answer_call(&mut worker_state, now);
+                answered_calls += 1;
             }
-            prop_assert!(!known.inbound_partition() || (calls >= 3 && now >= last + 3 * HEARTBEAT_INTERVAL));
-            prop_assert!(known.inbound_partition() || calls < 3 || now < last + 3 * (HEARTBEAT_INTERVAL + 7 * SECOND));
-            let action = inbound_partition(&known, false, LEASE, now);
-            prop_assert!(action != InboundPartition::Replace || now > last + 3 * LEASE);
-            prop_assert!(action == InboundPartition::None || now > last + LEASE, "it may yet send one");
+            prop_assert!(!worker_state.inbound_partition() || (answered_calls >= 3 && now >= last_heartbeat_at + 3 * HEARTBEAT_INTERVAL));
+            prop_assert!(worker_state.inbound_partition() || answered_calls < 3 || now < last_heartbeat_at + 3 * (HEARTBEAT_INTERVAL + 7 * SECOND));
+            let action = inbound_partition(&worker_state, false, LEASE_DURATION, now);
+            prop_assert!(action != InboundPartition::Replace || now > last_heartbeat_at + 3 * LEASE_DURATION);
+            prop_assert!(action == InboundPartition::None || now > last_heartbeat_at + LEASE_DURATION, "no action should be taken before the lease has expired");
         }
     }
 
-    /// While many are partitioned, it is no fault of theirs: none is drained or replaced for it, and there is nowhere
-    /// better to place work.
+    /// While many machines are partitioned, the cause is not in the machines: none is drained or replaced for it, and
+    /// tasks are still placed on them, since no machine is better suited.
     #[test]
-    fn many_are_left_alone(all in 2usize..60, share in 0usize..=100) {
-        let partitioned = all * share / 100;
+    fn many_partitioned_machines_are_left_unchanged(machine_count in 2usize..60, partitioned_percent in 0usize..=100) {
+        let partitioned = machine_count * partitioned_percent / 100;
         let mut machines: BTreeMap<MachineId, WorkerState> = BTreeMap::new();
-        for index in 0..all {
-            let (mut known, mut worker) = (WorkerState::new(TERM, 0), SimulatedWorker::new());
-            worker.send_heartbeat(&mut known, 0);
+        for index in 0..machine_count {
+            let (mut worker_state, mut worker) = (WorkerState::new(OWNER_TERM, 0), SimulatedWorker::new());
+            worker.send_heartbeat(&mut worker_state, 0);
             for round in 1..30 {
                 let now = round * 6 * SECOND;
-                if index < partitioned { worker.answer_call(&mut known, now) } else { worker.send_heartbeat(&mut known, now) }
+                if index < partitioned { worker.answer_call(&mut worker_state, now) } else { worker.send_heartbeat(&mut worker_state, now) }
             }
-            machines.insert(format!("m-{index}").into(), known);
+            machines.insert(format!("m-{index}").into(), worker_state);
         }
-        let many = many_inbound_partitions(&machines);
-        prop_assert_eq!(many, partitioned >= 2 && partitioned * 3 > all);
+        let many_partitioned = many_inbound_partitions(&machines);
+        prop_assert_eq!(many_partitioned, partitioned >= 2 && partitioned * 3 > machine_count);
         let now = 174 * SECOND;
-        for known in machines.values() {
-            let action = inbound_partition(known, many, LEASE, now);
-            prop_assert_eq!(action, if known.inbound_partition() && !many { InboundPartition::Replace } else { InboundPartition::None });
-            prop_assert_eq!(schedulable_session(known, 1, many, (HEARTBEAT_INTERVAL, now)).is_some(), many || !known.inbound_partition());
+        for worker_state in machines.values() {
+            let action = inbound_partition(worker_state, many_partitioned, LEASE_DURATION, now);
+            prop_assert_eq!(action, if worker_state.inbound_partition() && !many_partitioned { InboundPartition::Replace } else { InboundPartition::None });
+            prop_assert_eq!(schedulable_session(worker_state, 1, many_partitioned, (HEARTBEAT_INTERVAL, now)).is_some(), many_partitioned || !worker_state.inbound_partition());
         }
     }
 }
