--- a/tests/completion_races.rs
+++ b/tests/completion_races.rs
@@ -1,5 +1,5 @@
-//! A cancellation, a question or a repeated submission meets the end of a job's last task, without any other trouble:
-//! two controllers, answers that are lost, transactions that are carried out late. No answer goes back on another.
+//! Races of a cancellation, a status query or a repeated submission with the end of the last task of a job. There are
+//! two controllers, lost answers and delayed transactions, and no other failures. No answer contradicts an earlier one.
 
 mod common;
 
@@ -14,110 +14,118 @@
 use foldhash::{HashMap, HashSet, HashSetExt};
 use proptest::prelude::*;
 
-/// Jobs: an array, an array of two blocks, a gang, and one that waits for the first.
+/// Ids and task counts of the jobs: an array, an array of two blocks, a gang, and a job that depends on the first.
 const JOBS: [(&str, u32); 4] = [("req-0", 2), ("req-1", 258), ("req-2", 3), ("req-3", 1)];
 
 #[derive(Default)]
 struct Controller {
     view: ClusterState,
-    seen: usize,
+    /// Number of entries of the change log that are in the view.
+    log_position: usize,
 }
 
 struct World {
     store: Store,
-    nodes: [Controller; 2],
-    late: Vec<Transaction>,
-    told: HashMap<&'static str, Status>,
-    /// Jobs that their users asked to cancel.
-    asked: HashSet<&'static str>,
-    /// Tasks that completed, by job.
-    ended: HashMap<&'static str, HashSet<u32>>,
+    controllers: [Controller; 2],
+    /// Transactions that are applied later.
+    delayed: Vec<Transaction>,
+    /// Last status that a user received, by job.
+    reported_status: HashMap<&'static str, Status>,
+    /// Jobs for which a user requested the cancellation.
+    cancel_requested: HashSet<&'static str>,
+    /// Tasks that have completed, by job.
+    completed_tasks: HashMap<&'static str, HashSet<u32>>,
 }
 
-fn job(k: usize) -> JobSpec {
-    let (_, tasks) = JOBS[k];
+fn job_spec(job_index: usize) -> JobSpec {
+    let (_, tasks) = JOBS[job_index];
     let kind = [
         JobKind::Array,
         JobKind::Array,
         JobKind::Gang,
         JobKind::Array,
-    ][k];
-    let mut s = spec(kind, tasks);
-    if k == 3 {
-        s.dependencies.jobs.0 = vec![JOBS[0].0.into()];
+    ][job_index];
+    let mut job_spec = spec(kind, tasks);
+    if job_index == 3 {
+        job_spec.dependencies.jobs.0 = vec![JOBS[0].0.into()];
     }
-    s
+    job_spec
 }
 
 impl World {
     fn new() -> World {
-        let mut w = World {
+        let mut world = World {
             store: Store::default(),
-            nodes: Default::default(),
-            late: Vec::new(),
-            told: HashMap::default(),
-            asked: HashSet::new(),
-            ended: HashMap::default(),
+            controllers: Default::default(),
+            delayed: Vec::new(),
+            reported_status: HashMap::default(),
+            cancel_requested: HashSet::new(),
+            completed_tasks: HashMap::default(),
         };
-        for (k, (id, tasks)) in JOBS.into_iter().enumerate() {
-            let place = |s: &mut TaskState| {
-                *s = TaskState::Placed(Placement {
+        for (job_index, (id, tasks)) in JOBS.into_iter().enumerate() {
+            let place = |state: &mut TaskState| {
+                *state = TaskState::Placed(Placement {
                     attempt: 1,
                     machine: "m-1".into(),
                     session: 1,
                     stop: None,
                 });
             };
-            let mut first = fresh(tasks, 0);
-            let mut second = fresh(tasks, 1);
-            if k != 3 {
-                first.0.iter_mut().for_each(place);
-                second.0.iter_mut().for_each(place);
+            let mut first_block = fresh(tasks, 0);
+            let mut second_block = fresh(tasks, 1);
+            if job_index != 3 {
+                first_block.0.iter_mut().for_each(place);
+                second_block.0.iter_mut().for_each(place);
             }
-            w.store.put(keys::job(id), &JobRecord(job(k), first));
-            if !second.0.is_empty() {
-                w.store.put(keys::block(id, 1), &second);
+            world
+                .store
+                .put(keys::job(id), &JobRecord(job_spec(job_index), first_block));
+            if !second_block.0.is_empty() {
+                world.store.put(keys::block(id, 1), &second_block);
             }
         }
-        (0..2).for_each(|n| w.sync(n));
-        w
+        (0..2).for_each(|node| world.sync(node));
+        world
     }
 
-    /// A read that begins now.
-    fn sync(&mut self, n: usize) {
-        let c = &mut self.nodes[n];
-        for (rev, k, v) in &self.store.log[c.seen..] {
-            match v {
-                Some(v) => c.view.put(k, v, *rev),
-                None => c.view.delete(k, *rev),
+    /// Applies all changes in the state service to the view of a controller.
+    fn sync(&mut self, node: usize) {
+        let controller = &mut self.controllers[node];
+        for (revision, key, value) in &self.store.log[controller.log_position..] {
+            match value {
+                Some(value) => controller.view.put(key, value, *revision),
+                None => controller.view.delete(key, *revision),
             }
         }
-        c.seen = self.store.log.len();
-        c.view.revision = self.store.rev;
+        controller.log_position = self.store.log.len();
+        controller.view.revision = self.store.rev;
     }
 
-    /// Whether it was carried out and answered; what was written is in the view then.
-    fn write(&mut self, n: usize, t: Transaction, fate: u8) -> bool {
-        match fate % 6 {
-            0 => self.late.push(t),
+    /// Sends a transaction and returns whether it was applied and answered; its mutations are then in the view. The
+    /// generated `outcome` selects whether it is delayed, applied without an answer, or applied twice.
+    fn write(&mut self, node: usize, transaction: Transaction, outcome: u8) -> bool {
+        match outcome % 6 {
+            0 => self.delayed.push(transaction),
             1 => {
-                self.store.apply(&t);
+                self.store.apply(&transaction);
             }
             2 => {
-                // It is carried out, and once more.
-                self.store.apply(&t);
-                self.late.push(t);
+                // The transaction is applied now and again later.
+                self.store.apply(&transaction);
+                self.delayed.push(transaction);
             }
             _ => {
-                if self.store.apply(&t) {
-                    let rev = self.store.rev;
-                    for c in &t.mutations {
-                        match c {
+                if self.store.apply(&transaction) {
+                    let revision = self.store.rev;
+                    for mutation in &transaction.mutations {
+                        match mutation {
                             Mutation::Put {
-                                key: put, value: v, ..
-                            } => self.nodes[n].view.put(put, v, rev),
-                            Mutation::Delete { key: remove } => {
-                                self.nodes[n].view.delete(remove, rev);
+                                key: written,
+                                value,
+                                ..
+                            } => self.controllers[node].view.put(written, value, revision),
+                            Mutation::Delete { key: deleted } => {
+                                self.controllers[node].view.delete(deleted, revision);
                             }
                         }
                     }
@@ -128,201 +136,228 @@
         false
     }
 
-    fn over(&self, n: usize, id: &str) -> Option<Status> {
-        let a = answer(&self.nodes[n].view, id)?;
-        matches!(a.status, Status::Done | Status::Cancelled).then_some(a.status)
+    /// Returns the status of a job if it is final according to the view of a controller.
+    fn final_status(&self, node: usize, id: &str) -> Option<Status> {
+        let answer = answer(&self.controllers[node].view, id)?;
+        matches!(answer.status, Status::Done | Status::Cancelled).then_some(answer.status)
     }
 
-    /// What a user hears.
-    fn tell(&mut self, k: usize, status: Status) {
-        let (id, tasks) = JOBS[k];
-        let all = self.ended.get(id).map_or(0, HashSet::len) == tasks as usize;
-        assert!(status != Status::Done || all, "not_done: {id}");
-        let asked = self.asked.contains(id) || (k == 3 && self.asked.contains(JOBS[0].0));
+    /// Records a status that a user receives, and checks it against the earlier ones.
+    fn record_answer(&mut self, job_index: usize, status: Status) {
+        let (id, tasks) = JOBS[job_index];
+        let all_completed = self.completed_tasks.get(id).map_or(0, HashSet::len) == tasks as usize;
+        assert!(status != Status::Done || all_completed, "not_done: {id}");
+        let cancel_requested = self.cancel_requested.contains(id)
+            || (job_index == 3 && self.cancel_requested.contains(JOBS[0].0));
         assert!(
-            status != Status::Cancelled || asked,
-            "{id}: nobody asked for that"
+            status != Status::Cancelled || cancel_requested,
+            "{id}: cancelled without a request"
         );
-        let before = self.told.get(id).copied();
-        let over = before.filter(|s| matches!(s, Status::Done | Status::Cancelled));
+        let previous = self.reported_status.get(id).copied();
+        let final_status =
+            previous.filter(|previous| matches!(previous, Status::Done | Status::Cancelled));
         assert!(
-            over.is_none_or(|s| s == status),
-            "went_back: {id} was {before:?}, is {status:?}"
+            final_status.is_none_or(|final_status| final_status == status),
+            "went_back: {id} was {previous:?}, is {status:?}"
         );
-        self.told.insert(id, status);
+        self.reported_status.insert(id, status);
     }
 
-    /// It starts anew: final states are not loaded at the start.
-    fn anew(&mut self, n: usize) {
+    /// Restarts a controller. Final states are not loaded at the start.
+    fn restart(&mut self, node: usize) {
         let mut view = ClusterState::default();
-        for (k, (v, stamp)) in &self.store.keys {
-            if !JOBS.iter().any(|(id, _)| *k == keys::finished_job(id)) {
-                view.put(k, v, *stamp);
+        for (key, (value, version)) in &self.store.keys {
+            if !JOBS.iter().any(|(id, _)| *key == keys::finished_job(id)) {
+                view.put(key, value, *version);
             }
         }
         view.revision = self.store.rev;
-        let seen = self.store.log.len();
-        self.nodes[n] = Controller { view, seen };
+        let log_position = self.store.log.len();
+        self.controllers[node] = Controller { view, log_position };
     }
 
-    /// Asks the state service how a job ended, and all that it needs.
-    fn read_final(&mut self, n: usize, id: &str) {
-        let mut ids: Vec<JobId> = self.nodes[n].view.unknown_ancestors(id);
+    /// Reads the final states of a job and of its ancestors from the state service.
+    fn read_final(&mut self, node: usize, id: &str) {
+        let mut ids: Vec<JobId> = self.controllers[node].view.unknown_ancestors(id);
         ids.push(id.into());
         for id in ids {
-            if let Some((v, stamp)) = self.store.keys.get(&keys::finished_job(&id)) {
-                self.nodes[n].view.put(&keys::finished_job(&id), v, *stamp);
+            if let Some((value, version)) = self.store.keys.get(&keys::finished_job(&id)) {
+                self.controllers[node]
+                    .view
+                    .put(&keys::finished_job(&id), value, *version);
             }
         }
     }
 
-    /// A question: final states from memory, anything else after a read that begins now.
-    fn ask(&mut self, n: usize, k: usize) -> Status {
-        let id = JOBS[k].0;
-        if self.over(n, id).is_none() {
-            self.read_final(n, id);
-            self.sync(n);
-            self.read_final(n, id);
+    /// Answers a status query: a final state comes from the view, any other state from a new read.
+    fn query_status(&mut self, node: usize, job_index: usize) -> Status {
+        let id = JOBS[job_index].0;
+        if self.final_status(node, id).is_none() {
+            self.read_final(node, id);
+            self.sync(node);
+            self.read_final(node, id);
         }
-        let a = answer(&self.nodes[n].view, id);
-        let status = a.expect("forgotten: 404").status;
-        self.tell(k, status);
+        let answer = answer(&self.controllers[node].view, id);
+        let status = answer.expect("forgotten: 404").status;
+        self.record_answer(job_index, status);
         status
     }
 
-    fn cancel(&mut self, n: usize, k: usize, fate: u8) {
-        self.asked.insert(JOBS[k].0);
-        let status = self.ask(n, k);
+    /// Cancels a job for a user, unless its status is final.
+    fn cancel(&mut self, node: usize, job_index: usize, outcome: u8) {
+        self.cancel_requested.insert(JOBS[job_index].0);
+        let status = self.query_status(node, job_index);
         if matches!(status, Status::Done | Status::Cancelled) {
             return;
         }
-        let id: JobId = JOBS[k].0.into();
-        if let Some(t) = cancel(&self.nodes[n].view, &id, LIMITS)
-            && self.write(n, t, fate)
+        let id: JobId = JOBS[job_index].0.into();
+        if let Some(transaction) = cancel(&self.controllers[node].view, &id, LIMITS)
+            && self.write(node, transaction, outcome)
         {
-            self.ask(n, k);
+            self.query_status(node, job_index);
         }
     }
 
-    /// The same submission once more.
-    fn repeat(&mut self, n: usize, k: usize, fate: u8) {
-        let id = JOBS[k].0;
-        if answer(&self.nodes[n].view, id).is_some() {
-            self.ask(n, k);
+    /// Repeats the submission of a job.
+    fn resubmit(&mut self, node: usize, job_index: usize, outcome: u8) {
+        let id = JOBS[job_index].0;
+        if answer(&self.controllers[node].view, id).is_some() {
+            self.query_status(node, job_index);
             return;
         }
-        let steps = accept_submission(&self.nodes[n].view, id, job(k), LIMITS).expect("it fits");
-        for t in steps {
-            assert!(!self.write(n, t, fate), "{id} is accepted twice");
+        let transactions = accept_submission(
+            &self.controllers[node].view,
+            id,
+            job_spec(job_index),
+            LIMITS,
+        )
+        .expect("the job fits");
+        for transaction in transactions {
+            assert!(
+                !self.write(node, transaction, outcome),
+                "{id} is accepted twice"
+            );
         }
-        self.ask(n, k);
+        self.query_status(node, job_index);
     }
 
-    /// The owner of the machine records exits, or that what was cancelled has left; anyone writes ends.
-    fn record(&mut self, n: usize, k: usize, count: usize, fate: u8) {
-        let id: JobId = JOBS[k].0.into();
-        let Some(j) = self.nodes[n].view.jobs.get(&id) else {
+    /// Records up to `count` ended attempts, as the owner of the machine does, and the end of the job, which any
+    /// controller may write. Attempts of completed tasks have ended, and all attempts of a cancelled job.
+    fn record_exits(&mut self, node: usize, job_index: usize, count: usize, outcome: u8) {
+        let id: JobId = JOBS[job_index].0.into();
+        let Some(job) = self.controllers[node].view.jobs.get(&id) else {
             return;
         };
-        let done = self.ended.get(JOBS[k].0);
-        let cancelled = j.cancelled();
-        let known = |i: &u32| done.is_some_and(|d| d.contains(i));
-        let mut list: Vec<JobChange> = Vec::new();
-        for (index, p) in j
+        let completed_tasks = self.completed_tasks.get(JOBS[job_index].0);
+        let cancelled = job.cancelled();
+        let is_completed = |index: &u32| completed_tasks.is_some_and(|tasks| tasks.contains(index));
+        let mut changes: Vec<JobChange> = Vec::new();
+        for (index, placement) in job
             .placements()
-            .filter(|(i, _)| cancelled || known(i))
+            .filter(|(index, _)| cancelled || is_completed(index))
             .take(count)
         {
-            list.push(JobChange::AttemptEnded {
+            changes.push(JobChange::AttemptEnded {
                 job: id.clone(),
                 index,
-                attempt: p.attempt,
-                done: known(&index),
+                attempt: placement.attempt,
+                done: is_completed(&index),
             });
         }
-        list.push(JobChange::Finalize { job: id });
-        for s in stage(
-            &self.nodes[n].view,
-            &list,
+        changes.push(JobChange::Finalize { job: id });
+        for staged in stage(
+            &self.controllers[node].view,
+            &changes,
             &HashSet::new(),
             &|_| false,
             LIMITS,
         ) {
-            self.write(n, s.transaction, fate);
+            self.write(node, staged.transaction, outcome);
         }
     }
 
-    /// Tasks complete; those of a gang together. The last one starts once the first job is done.
-    fn complete(&mut self, k: usize, count: u32) {
-        let (id, tasks) = JOBS[k];
-        let started = k != 3 || self.told.get(JOBS[0].0) == Some(&Status::Done);
-        let d = self.ended.entry(id).or_default();
-        let n = if k == 2 { tasks } else { count };
-        let first = d.len() as u32;
+    /// Completes tasks of a job, those of a gang together. The last job starts once the first one is done.
+    fn complete(&mut self, job_index: usize, count: u32) {
+        let (id, tasks) = JOBS[job_index];
+        let started = job_index != 3 || self.reported_status.get(JOBS[0].0) == Some(&Status::Done);
+        let completed_tasks = self.completed_tasks.entry(id).or_default();
+        let newly_completed = if job_index == 2 { tasks } else { count };
+        let first = completed_tasks.len() as u32;
         if started {
-            d.extend(first..(first + n).min(tasks));
+            completed_tasks.extend(first..(first + newly_completed).min(tasks));
         }
     }
 
-    /// Its only task runs and is placed, if it may.
-    fn start(&mut self, n: usize) {
-        self.sync(n);
+    /// Places the only task of the dependent job, if its dependency allows it.
+    fn start_dependent_job(&mut self, node: usize) {
+        self.sync(node);
         let place = JobChange::Place {
             job: JOBS[3].0.into(),
             tasks: vec![(0, "m-1".into(), 1)],
         };
-        for s in stage(
-            &self.nodes[n].view,
+        for staged in stage(
+            &self.controllers[node].view,
             &[place],
             &HashSet::new(),
             &|_| false,
             LIMITS,
         ) {
-            self.store.apply(&s.transaction);
+            self.store.apply(&staged.transaction);
         }
     }
 
-    fn step(&mut self, op: u8, a: u8, fate: u8) {
-        let (n, k) = (a as usize % 2, a as usize / 2 % 4);
-        match op % 16 {
-            0 | 1 => self.sync(n),
-            2 => self.complete(k, 1 + u32::from(fate)),
-            3..=6 => self.record(n, k, 1 + usize::from(fate) * 2, fate),
-            7 => self.cancel(n, k, fate),
+    /// Executes one generated step, then checks the records.
+    fn step(&mut self, operation: u8, selector: u8, outcome: u8) {
+        let (node, job_index) = (selector as usize % 2, selector as usize / 2 % 4);
+        match operation % 16 {
+            0 | 1 => self.sync(node),
+            2 => self.complete(job_index, 1 + u32::from(outcome)),
+            3..=6 => self.record_exits(node, job_index, 1 + usize::from(outcome) * 2, outcome),
+            7 => self.cancel(node, job_index, outcome),
             8..=10 => {
-                self.ask(n, k);
+                self.query_status(node, job_index);
             }
-            11 | 12 => self.repeat(n, k, fate),
-            13 if fate >= 200 => self.anew(n),
-            13 => self.start(n),
-            _ if !self.late.is_empty() => {
-                let t = self.late.remove(fate as usize % self.late.len());
-                self.store.apply(&t);
+            11 | 12 => self.resubmit(node, job_index, outcome),
+            13 if outcome >= 200 => self.restart(node),
+            13 => self.start_dependent_job(node),
+            _ if !self.delayed.is_empty() => {
+                let transaction = self.delayed.remove(outcome as usize % self.delayed.len());
+                self.store.apply(&transaction);
             }
             _ => {}
         }
-        // The last job starts after the durable end of what it needs, or never.
-        let first = self.store.keys.get(&keys::finished_job(JOBS[0].0));
-        let done = first.map(|(v, _)| v.deserialized::<FinishedJob>().expect("final"));
-        let placed = |n: &Controller| n.view.jobs.get(JOBS[3].0).is_some_and(|j| j.placed > 0);
-        let may = done.is_some_and(|f| !f.cancelled);
-        assert!(may || !self.nodes.iter().any(placed), "too_early");
+        // The last job starts only after the durable end of its dependency.
+        let dependency_end = self.store.keys.get(&keys::finished_job(JOBS[0].0));
+        let dependency =
+            dependency_end.map(|(value, _)| value.deserialized::<FinishedJob>().expect("final"));
+        let is_placed = |controller: &Controller| {
+            controller
+                .view
+                .jobs
+                .get(JOBS[3].0)
+                .is_some_and(|job| job.placed > 0)
+        };
+        let may_start = dependency.is_some_and(|finished| !finished.cancelled);
+        assert!(
+            may_start || !self.controllers.iter().any(is_placed),
+            "too_early"
+        );
         for (id, _) in JOBS {
-            let job = self.store.keys.contains_key(&keys::job(id));
+            let has_job_record = self.store.keys.contains_key(&keys::job(id));
             let finished_job = self.store.keys.get(&keys::finished_job(id));
             assert!(
-                job != finished_job.is_some(),
-                "{id}: over and not, or neither"
+                has_job_record != finished_job.is_some(),
+                "{id}: should have either a job record or a final record"
             );
-            if let Some((v, _)) = finished_job {
-                let f: FinishedJob = v.deserialized().expect("final");
-                let status = self.told.get(id);
-                let want = if f.cancelled {
+            if let Some((value, _)) = finished_job {
+                let finished: FinishedJob = value.deserialized().expect("final");
+                let status = self.reported_status.get(id);
+                let contradicting_status = if finished.cancelled {
                     Status::Done
                 } else {
                     Status::Cancelled
                 };
-                assert!(status != Some(&want), "went_back: {id}");
+                assert!(status != Some(&contradicting_status), "went_back: {id}");
             }
         }
     }
@@ -332,56 +367,59 @@
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(40), ..ProptestConfig::default() })]
 
     #[test]
-    fn no_answer_goes_back_at_a_jobs_end(steps in proptest::collection::vec(any::<(u8, u8, u8)>(), 20..200)) {
-        let mut w = World::new();
-        for (op, a, fate) in steps {
-            w.step(op, a, fate);
+    fn final_status_never_changes(steps in proptest::collection::vec(any::<(u8, u8, u8)>(), 20..200)) {
+        let mut world = World::new();
+        for (operation, selector, outcome) in steps {
+            world.step(operation, selector, outcome);
         }
-        // Whoever asks in the end hears of a final state that both give, once it is written.
-        let late: Vec<Transaction> = std::mem::take(&mut w.late);
-        for t in &late {
-            w.store.apply(t);
+        // Once all transactions have been applied, both controllers answer with the same status.
+        let delayed: Vec<Transaction> = std::mem::take(&mut world.delayed);
+        for transaction in &delayed {
+            world.store.apply(transaction);
         }
-        for k in 0..JOBS.len() {
-            prop_assert_eq!(w.ask(0, k), w.ask(1, k));
+        for job_index in 0..JOBS.len() {
+            prop_assert_eq!(world.query_status(0, job_index), world.query_status(1, job_index));
         }
     }
 }
 
-/// The last task has completed and its block says so; the job's end is not written, and nobody was told. A withdrawal
-/// that was made before arrives now: the job is cancelled, and nobody ever heard anything else.
+/// The last task has completed and its block records it, but the end of the job is neither written nor answered to a
+/// user. An earlier cancellation arrives now: the job is cancelled, and no user has received any other final status.
 #[test]
-fn a_withdrawal_between_the_last_exit_and_the_end() {
-    let mut w = World::new();
-    w.complete(1, 300);
-    w.cancel(1, 1, 0);
-    assert_eq!(w.late.len(), 1, "under way");
-    w.record(0, 1, 300, 3);
-    w.record(0, 1, 300, 3);
-    while let Some(t) = w.late.pop() {
-        w.store.apply(&t);
+fn cancellation_between_last_exit_and_job_end() {
+    let mut world = World::new();
+    world.complete(1, 300);
+    world.cancel(1, 1, 0);
+    assert_eq!(world.delayed.len(), 1, "the cancellation should be delayed");
+    world.record_exits(0, 1, 300, 3);
+    world.record_exits(0, 1, 300, 3);
+    while let Some(transaction) = world.delayed.pop() {
+        world.store.apply(&transaction);
     }
-    let (a, b) = (w.ask(0, 1), w.ask(1, 1));
-    assert_eq!(a, b);
-    (0..2).for_each(|n| w.record(n, 1, 300, 3));
-    assert_eq!(w.ask(0, 1), a);
+    let (first_status, second_status) = (world.query_status(0, 1), world.query_status(1, 1));
+    assert_eq!(first_status, second_status);
+    (0..2).for_each(|node| world.record_exits(node, 1, 300, 3));
+    assert_eq!(world.query_status(0, 1), first_status);
 }
 
-/// Its record is gone when the withdrawal arrives: `done` it was, and `done` it stays.
+/// The job record is deleted when the cancellation arrives: the job was `done` and stays `done`.
 #[test]
-fn a_withdrawal_after_the_end_changes_nothing() {
-    let mut w = World::new();
-    w.complete(0, 2);
-    w.cancel(1, 0, 0);
+fn cancellation_after_job_end_has_no_effect() {
+    let mut world = World::new();
+    world.complete(0, 2);
+    world.cancel(1, 0, 0);
     for _ in 0..2 {
-        w.record(0, 0, 9, 3);
+        world.record_exits(0, 0, 9, 3);
     }
-    assert_eq!(w.ask(0, 0), Status::Done);
-    while let Some(t) = w.late.pop() {
-        assert!(!w.store.apply(&t), "its record has changed");
+    assert_eq!(world.query_status(0, 0), Status::Done);
+    while let Some(transaction) = world.delayed.pop() {
+        assert!(
+            !world.store.apply(&transaction),
+            "the delayed cancellation should fail its precondition"
+        );
     }
-    w.cancel(1, 0, 3);
-    assert_eq!(w.told["req-0"], Status::Done);
-    w.repeat(1, 0, 3);
-    assert!(!w.store.keys.contains_key(&keys::job("req-0")));
+    world.cancel(1, 0, 3);
+    assert_eq!(world.reported_status["req-0"], Status::Done);
+    world.resubmit(1, 0, 3);
+    assert!(!world.store.keys.contains_key(&keys::job("req-0")));
 }
