--- a/tests/incarnations.rs
+++ b/tests/incarnations.rs
@@ -1,5 +1,5 @@
-//! Incarnations of one controller that follow each other within a fraction of a second: requests of an earlier one
-//! arrive late, twice, or not at all, while its lease still runs.
+//! Incarnations of one controller that follow each other within a fraction of a second. Requests of an earlier
+//! incarnation arrive late, twice, or not at all, while its lease has not expired.
 
 mod common;
 
@@ -15,32 +15,33 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-const NAMES: [&str; 3] = ["a", "b", "c"];
-/// Mutations that a transaction may have.
+const NODE_NAMES: [&str; 3] = ["a", "b", "c"];
+/// Maximum number of mutations in a transaction.
 const MAX_MUTATIONS: usize = 16;
 
 /// A running process.
 struct Process {
     lease: Option<u64>,
-    desired: Option<Member>,
+    /// Member record that the process writes under its member key.
+    desired_member: Option<Member>,
     view: ClusterState,
-    /// How much of the store's log is in the view.
+    /// Number of entries of the change log that are in the view.
     log_position: usize,
 }
 
 struct World {
     now: u64,
     store: Store,
-    /// Leases that run, and the keys that are bound to them.
+    /// Leases that have not expired, and the keys that are bound to them.
     leases: BTreeMap<u64, HashSet<String>>,
-    /// The lease that was granted last.
-    last_lease: u64,
+    /// Id of the lease that was granted last.
+    last_lease_id: u64,
     processes: [Option<Process>; 3],
-    /// Requests that nobody answered; each may arrive at any time, and more than once.
+    /// Requests without an answer; each may arrive at any time, and more than once.
     delayed: Vec<Transaction>,
-    /// Who got which term of which shard: name and lease by shard and term.
+    /// Owner of each shard in each term: name and lease by shard and term.
     owners_by_term: BTreeMap<(u32, u64), (String, u64)>,
-    /// How often a shard was taken.
+    /// Number of times that a shard was claimed.
     takeovers: u32,
 }
 
@@ -50,7 +51,7 @@
             now: 1000 * SECOND,
             store: Store::default(),
             leases: BTreeMap::new(),
-            last_lease: 0,
+            last_lease_id: 0,
             processes: [None, None, None],
             delayed: Vec::new(),
             owners_by_term: BTreeMap::new(),
@@ -58,22 +59,23 @@
         }
     }
 
-    /// A process starts, or ends and is back at once: nothing but its name is left of it.
+    /// Starts or restarts a process, which keeps only its name.
     fn start(&mut self, node: usize) {
         self.processes[node] = Some(Process {
             lease: None,
-            desired: None,
+            desired_member: None,
             view: ClusterState::default(),
             log_position: 0,
         });
     }
 
-    /// A process that was started.
+    /// Returns a process that was started.
     fn process(&self, node: usize) -> &Process {
         self.processes[node].as_ref().expect("started")
     }
 
-    /// The service carries a transaction out: whether it did, or `None` if a lease has expired.
+    /// Applies a transaction in the state service. Returns whether its preconditions held, or `None` if one of its leases
+    /// has expired.
     fn apply(&mut self, transaction: &Transaction) -> Option<bool> {
         let leases = transaction
             .mutations
@@ -108,6 +110,7 @@
         Some(true)
     }
 
+    /// Records the owner of a shard in a new term, which must be higher than all earlier ones.
     fn record_term(&mut self, number: u32, shard: Shard) {
         let highest = self
             .owners_by_term
@@ -117,13 +120,14 @@
             .max();
         assert!(
             highest.is_none_or(|highest| highest < shard.term),
-            "a term was given twice"
+            "terms of a shard should increase"
         );
         self.owners_by_term
             .insert((number, shard.term), (shard.owner, shard.lease));
         self.takeovers += 1;
     }
 
+    /// Expires a lease and deletes the keys that are bound to it.
     fn expire_lease(&mut self, lease: u64) {
         for key in self.leases.remove(&lease).unwrap_or_default() {
             self.store.apply(&Transaction {
@@ -133,7 +137,7 @@
         }
     }
 
-    /// A process reads everything.
+    /// Applies all changes in the state service to the view of a process.
     fn sync(&mut self, node: usize) {
         let Some(process) = &mut self.processes[node] else {
             return;
@@ -148,9 +152,10 @@
         process.view.revision = self.store.rev;
     }
 
-    /// Sends a transaction. `fate`: carried out and answered, carried out without an answer, on its way.
-    fn send(&mut self, node: usize, transaction: Transaction, fate: u8) {
-        match fate % 4 {
+    /// Sends a transaction. The generated `outcome` selects one of: applied and answered, applied without an answer and
+    /// delivered again later, delayed.
+    fn send(&mut self, node: usize, transaction: Transaction, outcome: u8) {
+        match outcome % 4 {
             0 | 1 => {
                 if self.apply(&transaction).is_none()
                     && let Some(process) = &mut self.processes[node]
@@ -166,8 +171,8 @@
         }
     }
 
-    /// One round of a process's loops: lease, member key, shards, leadership.
-    fn round(&mut self, node: usize, fates: u8) {
+    /// Runs one round of the loops of a process: lease, member key, shards, leadership.
+    fn round(&mut self, node: usize, outcomes: u8) {
         let Some(process) = &mut self.processes[node] else {
             return;
         };
@@ -175,13 +180,13 @@
             .lease
             .is_none_or(|lease| !self.leases.contains_key(&lease))
         {
-            self.last_lease += 1;
-            self.leases.insert(self.last_lease, HashSet::default());
-            process.lease = Some(self.last_lease);
-            let previous = process.view.members.get(NAMES[node]);
-            process.desired = Some(Member::new_incarnation(
+            self.last_lease_id += 1;
+            self.leases.insert(self.last_lease_id, HashSet::default());
+            process.lease = Some(self.last_lease_id);
+            let previous = process.view.members.get(NODE_NAMES[node]);
+            process.desired_member = Some(Member::new_incarnation(
                 previous,
-                self.last_lease,
+                self.last_lease_id,
                 LAYOUT_VERSION,
                 self.now,
             ));
@@ -190,16 +195,17 @@
             let Some(process) = &self.processes[node] else {
                 return;
             };
-            let (Some(lease), Some(desired)) = (process.lease, &process.desired) else {
+            let (Some(lease), Some(desired_member)) = (process.lease, &process.desired_member)
+            else {
                 return;
             };
             let incarnation = Incarnation {
-                node: NAMES[node],
+                node: NODE_NAMES[node],
                 lease,
             };
             let view = &process.view;
             let transaction = match step {
-                0 => claim_member_key(view, incarnation, desired),
+                0 => claim_member_key(view, incarnation, desired_member),
                 1 => {
                     let claim = ShardClaim {
                         view,
@@ -216,21 +222,21 @@
                 },
             };
             if let Some(transaction) = transaction {
-                self.send(node, transaction, fates >> (2 * step));
+                self.send(node, transaction, outcomes >> (2 * step));
             }
             self.sync(node);
         }
     }
 
-    /// One generated step: what happens, to which process, and how.
+    /// Executes one generated step: an operation, the process that it affects, and an argument.
     fn step(&mut self, operation: u8, selector: u8, argument: u8) {
-        let node = selector as usize % NAMES.len();
+        let node = selector as usize % NODE_NAMES.len();
         match operation % 12 {
             0 => self.start(node),
             1 | 2 => self.sync(node),
             3..=6 => self.round(node, argument),
             7 => {
-                // Leases expire because time passes: of processes that are gone, or are cut off.
+                // Leases of ended or isolated processes expire as time passes.
                 let lease = self
                     .leases
                     .keys()
@@ -241,8 +247,8 @@
             }
             8 | 9 => {
                 if !self.delayed.is_empty() {
-                    let late = self.delayed[argument as usize % self.delayed.len()].clone();
-                    self.apply(&late);
+                    let transaction = self.delayed[argument as usize % self.delayed.len()].clone();
+                    self.apply(&transaction);
                 }
             }
             _ => self.now += u64::from(argument) * SECOND / 50,
@@ -250,7 +256,7 @@
         self.check_terms();
     }
 
-    /// No two incarnations drive a shard under one term, whatever they believe of themselves.
+    /// Checks that no two incarnations own a shard under the same term according to their views.
     fn check_terms(&self) {
         for number in 0..SHARD_COUNT {
             let mut owners: Vec<(u64, u64)> = Vec::new();
@@ -259,7 +265,7 @@
                 let Some(shard) = process.view.shards.get(&number) else {
                     continue;
                 };
-                if shard.owner == NAMES[node] && Some(shard.lease) == process.lease {
+                if shard.owner == NODE_NAMES[node] && Some(shard.lease) == process.lease {
                     owners.push((shard.term, shard.lease));
                 }
             }
@@ -271,18 +277,18 @@
         }
     }
 
-    /// Everything that was on its way arrives, old leases expire, and from then on nothing fails.
+    /// Delivers all delayed requests, expires old leases, and runs without further failures.
     fn settle(&mut self) {
-        for late in self.delayed.clone() {
-            self.apply(&late);
+        for transaction in self.delayed.clone() {
+            self.apply(&transaction);
         }
-        for node in 0..NAMES.len() {
+        for node in 0..NODE_NAMES.len() {
             if self.processes[node].is_none() {
                 self.start(node);
             }
         }
         for round in 0..40 {
-            for node in 0..NAMES.len() {
+            for node in 0..NODE_NAMES.len() {
                 self.sync(node);
                 self.round(node, 0);
             }
@@ -294,6 +300,7 @@
         self.check_settled();
     }
 
+    /// Expires the leases that no process holds.
     fn expire_unused_leases(&mut self) {
         let used: HashSet<u64> = self
             .processes
@@ -307,42 +314,42 @@
         }
     }
 
-    /// Each process has its member key and a third of the shards, and one of them leads.
+    /// Checks that each process has its member key and a third of the shards, and that one of them is the leader.
     fn check_settled(&self) {
         let view = &self.process(0).view;
-        for (node, name) in NAMES.iter().enumerate() {
-            let desired = self.process(node).desired.as_ref();
-            assert_eq!(view.members.get(*name), desired, "{name}");
+        for (node, name) in NODE_NAMES.iter().enumerate() {
+            let desired_member = self.process(node).desired_member.as_ref();
+            assert_eq!(view.members.get(*name), desired_member, "{name}");
         }
         let is_live = |node: &str, lease| {
             view.members
                 .get(node)
                 .is_some_and(|member| member.lease == lease)
         };
-        let mut load: BTreeMap<&str, u32> = BTreeMap::new();
+        let mut shard_counts: BTreeMap<&str, u32> = BTreeMap::new();
         for number in 0..SHARD_COUNT {
             let shard = view.shards.get(&number).expect("taken");
             assert!(
                 is_live(&shard.owner, shard.lease),
-                "a shard of an ended incarnation"
+                "the owner of a shard should be a live incarnation"
             );
-            *load.entry(&shard.owner).or_default() += 1;
+            *shard_counts.entry(&shard.owner).or_default() += 1;
         }
         assert!(
-            load.values().all(|load| *load == SHARD_COUNT / 3),
-            "{load:?}"
+            shard_counts.values().all(|count| *count == SHARD_COUNT / 3),
+            "{shard_counts:?}"
         );
-        let leader = view.leader.as_ref().expect("a leader");
+        let leader = view.leader.as_ref().expect("leader");
         assert!(
             is_live(&leader.node, leader.lease),
-            "an ended incarnation leads"
+            "the leader should be a live incarnation"
         );
     }
 
-    /// Name of the leader as a process sees it.
+    /// Returns the name of the leader in the view of a process.
     fn leader(&self, node: usize) -> String {
         let leader = self.process(node).view.leader.clone();
-        leader.expect("a leader").node
+        leader.expect("leader").node
     }
 }
 
@@ -353,10 +360,10 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(27),
         ..ProptestConfig::default()
     })]
-    /// Whatever arrives when, no term is given twice, and once nothing fails any more each controller has
-    /// its member key, a third of the shards, and one of them leads.
+    /// For any order of delivery no term is granted twice, and once the failures end each controller has its member key
+    /// and a third of the shards, and one of them is the leader.
     #[test]
-    fn a_new_incarnation_gets_its_place_whatever_the_old_one_left(
+    fn new_incarnations_recover_membership_and_shards(
         steps in proptest::collection::vec(any::<(u8, u8, u8)>(), 20..300),
     ) {
         let mut world = World::new();
@@ -367,22 +374,22 @@
     }
 }
 
-/// A write of its member key by an earlier incarnation, delivered while its lease still runs, would bind the key to
-/// that lease: the key disappears with it, and the new incarnation is no member.
+/// A write of the member key by an earlier incarnation, delivered before the expiry of its lease, would bind the key to
+/// that lease: the key would be deleted with the lease, and the new incarnation would not be a member.
 #[test]
-fn a_late_member_key_of_an_earlier_incarnation_changes_nothing() {
+fn delayed_member_key_of_earlier_incarnation_is_rejected() {
     let mut world = World::new();
     world.start(0);
     world.sync(0);
     world.round(0, 0b11);
-    let late = world.delayed[0].clone();
+    let delayed_write = world.delayed[0].clone();
     world.start(0);
     world.round(0, 0);
-    assert_eq!(world.apply(&late), Some(false));
-    // Without the precondition it would be carried out; the new incarnation then writes its key again.
+    assert_eq!(world.apply(&delayed_write), Some(false));
+    // Without the precondition the write is applied; the new incarnation then writes its key again.
     let unconditional = Transaction {
         preconditions: Vec::new(),
-        ..late
+        ..delayed_write
     };
     assert_eq!(world.apply(&unconditional), Some(true));
     world.expire_lease(1);
@@ -395,10 +402,11 @@
     );
 }
 
-/// The key of an ended leader stands until its lease expires, while the next incarnation of the same name is alive.
-/// Were the leader a name, nobody would lead until then, and for ever if that incarnation ended as well.
+/// The leader key of an ended incarnation remains until its lease expires, while the next incarnation with the same name
+/// is alive. If the key named only the node, there would be no leader until then, and none ever if the next incarnation
+/// ended as well.
 #[test]
-fn the_leader_is_an_incarnation_and_not_a_name() {
+fn leadership_belongs_to_an_incarnation() {
     let mut world = World::new();
     for node in 0..3 {
         world.start(node);
@@ -415,10 +423,10 @@
     assert_eq!(world.leader(1), "b");
 }
 
-/// One that ends each second, and is back at once, takes its shards once or twice; then those that stay drive them
-/// until it has stayed as well.
+/// A controller that restarts each second claims its shards once or twice. Then the stable controllers own them until
+/// it has been stable, too.
 #[test]
-fn a_flapping_controller_is_given_no_shards() {
+fn flapping_controller_gets_no_shards() {
     let mut world = World::new();
     for node in 0..3 {
         world.start(node);
@@ -430,7 +438,7 @@
         }
         world.now += SECOND;
     }
-    let before = world.takeovers;
+    let takeovers_before = world.takeovers;
     for _ in 0..60 {
         world.start(2);
         for node in [2, 0, 1] {
@@ -439,8 +447,12 @@
         }
         world.now += SECOND;
     }
-    let (moved, share) = (world.takeovers - before, SHARD_COUNT / 3);
-    assert!(moved <= 2 * share, "{moved} takeovers of {share} shards");
+    let (moved_shards, shards_per_controller) =
+        (world.takeovers - takeovers_before, SHARD_COUNT / 3);
+    assert!(
+        moved_shards <= 2 * shards_per_controller,
+        "{moved_shards} takeovers of {shards_per_controller} shards"
+    );
     let owned = |world: &World| {
         let shards = world.process(0).view.shards.values();
         shards.filter(|shard| shard.owner == "c").count()
@@ -456,14 +468,14 @@
     }
     assert_eq!(
         owned(&world),
-        share as usize,
-        "it stayed, and has its share"
+        shards_per_controller as usize,
+        "a stable controller should get its share of the shards"
     );
 }
 
-/// If all of them flap there is nobody better: each incarnation takes what it can.
+/// If all controllers flap, there is no stable one to prefer, and each incarnation claims the shards it can.
 #[test]
-fn controllers_that_all_flap_still_drive_all_machines() {
+fn flapping_controllers_still_own_all_shards() {
     let mut world = World::new();
     for _ in 0..20 {
         for node in 0..3 {
