--- a/tests/completion_races.rs
+++ b/tests/completion_races.rs
@@ -120,12 +120,16 @@
                     for mutation in &transaction.mutations {
                         match mutation {
                             Mutation::Put {
-                                key: written,
-                                value,
+                                key: changed_key,
+                                value: changed_value,
                                 ..
-                            } => self.controllers[node].view.put(written, value, revision),
-                            Mutation::Delete { key: deleted } => {
-                                self.controllers[node].view.delete(deleted, revision);
+                            } => self.controllers[node].view.put(
+                                changed_key,
+                                changed_value,
+                                revision,
+                            ),
+                            Mutation::Delete { key: changed_key } => {
+                                self.controllers[node].view.delete(changed_key, revision);
                             }
                         }
                     }
