--- a/tests/invariants/main.rs
+++ b/tests/invariants/main.rs
@@ -215,7 +215,7 @@
 /// A heartbeat from before the task started arrives after newer ones, while the machine is in an outbound
 /// partition and does not receive the stop command.
 #[test]
-fn reordered_heartbeat_does_not_end_an_attempt() {
+fn reordered_heartbeat_ends_no_attempt() {
     let mut world = World::new();
     let (controller_index, worker_index) = place_service(&mut world);
     let old_heartbeat = world.heartbeat(worker_index);
@@ -265,7 +265,7 @@
 /// machine, which is in an outbound partition and has not received the new fencing token, so the start command of
 /// the old owner may still arrive.
 #[test]
-fn heartbeat_with_older_token_does_not_end_an_attempt() {
+fn heartbeat_with_older_token_ends_no_attempt() {
     let mut world = World::new();
     let (controller_index, worker_index) = place_service(&mut world);
     world.send_direct_call(controller_index, worker_index, 0);
--- a/tests/invariants/world.rs
+++ b/tests/invariants/world.rs
@@ -241,7 +241,7 @@
     }
 }
 
-/// Returns whether a job is a gang. The job number encodes it, so that it can be told after the record is deleted.
+/// Returns whether a job is a gang. The job number encodes it, so that it is known after the record is deleted.
 pub(crate) fn is_gang(job: &str) -> bool {
     let number = job.strip_prefix("req-").and_then(|n| n.parse().ok());
     number.is_some_and(|n: u32| n.is_multiple_of(JOBS_PER_GANG))
