--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -1,6 +1,7 @@
-//! Pipelines, versions side by side and limits that fall, under generated orders of submissions,
-//! cancellations, restarts and late transactions. The store checks every write against its limits; the
-//! version in production is met through the types that it reads and writes with.
+//! Property tests of pipelines during a rolling upgrade and a reduction of the state service's limits, under
+//! generated orders of submissions, cancellations, restarts and delayed transactions. The store checks every
+//! write against its limits; the version in production is represented by the types with which it reads and
+//! writes.
 
 mod common;
 
@@ -26,14 +27,17 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-const NODES: usize = 3;
-const WIDE: (usize, usize) = (32 * 1024, 16);
-const NARROW: (usize, usize) = (2 * 1024, 5);
+const CONTROLLER_COUNT: usize = 3;
+/// Largest value in bytes and most mutations per transaction at the start.
+const INITIAL_LIMITS: (usize, usize) = (32 * 1024, 16);
+/// Largest value in bytes and most mutations per transaction after the limits were lowered.
+const LOWERED_LIMITS: (usize, usize) = (2 * 1024, 5);
 
-/// The record as the version in production has it: what it cannot read it drops, and with it the job.
+/// Job specification as the version in production decodes it. That version drops a record that it cannot
+/// decode, and the job with it.
 #[derive(serde::Deserialize)]
 #[allow(dead_code)]
-struct OldSpec {
+struct OldJobSpec {
     cl: String,
     t: String,
     k: JobKind,
@@ -55,8 +59,8 @@
     #[serde(default)]
     x: bool,
 }
-type OldSlot = (u8, u32, String, u64, u64);
-type OldRecord = (OldSpec, Vec<OldSlot>);
+type OldTaskState = (u8, u32, String, u64, u64);
+type OldJobRecord = (OldJobSpec, Vec<OldTaskState>);
 
 fn spec(kind: JobKind, tasks: u32) -> JobSpec {
     JobSpec {
@@ -75,57 +79,67 @@
     }
 }
 
+/// An in-memory state service with limits on values and transactions.
 #[derive(Default)]
-struct Store {
+struct LimitedStore {
     inner: common::Store,
     limits: (usize, usize),
 }
 
-impl std::ops::Deref for Store {
+impl std::ops::Deref for LimitedStore {
     type Target = common::Store;
     fn deref(&self) -> &common::Store {
         &self.inner
     }
 }
 
-impl std::ops::DerefMut for Store {
+impl std::ops::DerefMut for LimitedStore {
     fn deref_mut(&mut self) -> &mut common::Store {
         &mut self.inner
     }
 }
 
-impl Store {
-    /// What the state service answers with 400: always a fault of ours.
-    fn check(&self, t: &Transaction) {
-        let (value, ops) = self.limits;
-        assert!(t.mutations.len() <= ops, "{} changes", t.mutations.len());
+impl LimitedStore {
+    /// Asserts the limits that the state service enforces with a 400 response. Exceeding one is always a
+    /// fault of the controller.
+    fn check_limits(&self, transaction: &Transaction) {
+        let (max_value_bytes, max_mutations) = self.limits;
         assert!(
-            t.preconditions.len() <= ops * 4,
-            "{} guards",
-            t.preconditions.len()
+            transaction.mutations.len() <= max_mutations,
+            "{} mutations",
+            transaction.mutations.len()
         );
-        assert!(t.largest() <= value, "a value of {} bytes", t.largest());
-        assert!(json_size(t) <= 64 * 1024);
+        assert!(
+            transaction.preconditions.len() <= max_mutations * 4,
+            "{} preconditions",
+            transaction.preconditions.len()
+        );
+        assert!(
+            transaction.largest() <= max_value_bytes,
+            "a value of {} bytes",
+            transaction.largest()
+        );
+        assert!(json_size(transaction) <= 64 * 1024);
     }
 
     fn job(&self, id: &str) -> Option<JobSpec> {
-        let (v, _) = self.keys.get(&keys::job(id))?;
-        Some(from_value::<coppergw::jobs::model::StoredJobRecord>(v)?.0)
+        let (value, _) = self.keys.get(&keys::job(id))?;
+        Some(from_value::<coppergw::jobs::model::StoredJobRecord>(value)?.0)
     }
     fn finished_job(&self, id: &str) -> Option<FinishedJob> {
         from_value(&self.keys.get(&keys::finished_job(id))?.0)
     }
-    /// Whether the job or one before it is cancelled, from what is stored alone.
-    fn cancelled(&self, needs: &HashMap<String, Vec<String>>, id: &str) -> bool {
+    /// Returns whether the job or one of its ancestors is cancelled, according to the stored state alone.
+    fn cancelled(&self, dependencies: &HashMap<String, Vec<String>>, id: &str) -> bool {
         match self.finished_job(id) {
-            Some(f) => f.cancelled,
+            Some(finished) => finished.cancelled,
             None => {
                 self.job(id).is_some_and(|s| s.cancelled)
-                    || needs
+                    || dependencies
                         .get(id)
                         .into_iter()
                         .flatten()
-                        .any(|n| self.cancelled(needs, n))
+                        .any(|n| self.cancelled(dependencies, n))
             }
         }
     }
@@ -133,120 +147,136 @@
 
 struct Controller {
     view: ClusterState,
-    seen: usize,
-    new: bool,
+    /// Number of entries of the store's log that the watch has delivered.
+    log_position: usize,
+    new_version: bool,
 }
 
-struct World {
-    store: Store,
-    nodes: Vec<Controller>,
-    /// As submitted: what each job waits for.
-    needs: HashMap<String, Vec<String>>,
-    order: Vec<String>,
-    told: HashMap<String, Status>,
-    late: Vec<Transaction>,
-    on: BTreeSet<(String, u32)>,
-    wall: u64,
+struct TestCluster {
+    store: LimitedStore,
+    controllers: Vec<Controller>,
+    /// Dependencies of each job, as submitted.
+    dependencies: HashMap<String, Vec<String>>,
+    /// IDs of the jobs in the order of submission.
+    submitted: Vec<String>,
+    /// Status of each job as last returned to a user.
+    reported: HashMap<String, Status>,
+    /// Transactions that were sent and have not been applied yet.
+    delayed: Vec<Transaction>,
+    /// Tasks that are placed in the stored state.
+    placed_tasks: BTreeSet<(String, u32)>,
+    wall_clock: u64,
 }
 
-fn name(n: usize) -> String {
-    format!("deckhand-{n}")
+fn controller_name(controller: usize) -> String {
+    format!("deckhand-{controller}")
 }
 
-impl World {
-    fn new() -> World {
-        let mut w = World {
-            store: Store {
-                limits: WIDE,
-                ..Store::default()
+impl TestCluster {
+    fn new() -> TestCluster {
+        let mut cluster = TestCluster {
+            store: LimitedStore {
+                limits: INITIAL_LIMITS,
+                ..LimitedStore::default()
             },
-            nodes: Vec::new(),
-            needs: HashMap::new(),
-            order: Vec::new(),
-            told: HashMap::new(),
-            late: Vec::new(),
-            on: BTreeSet::new(),
-            wall: 1_700_000_000_000_000,
+            controllers: Vec::new(),
+            dependencies: HashMap::new(),
+            submitted: Vec::new(),
+            reported: HashMap::new(),
+            delayed: Vec::new(),
+            placed_tasks: BTreeSet::new(),
+            wall_clock: 1_700_000_000_000_000,
         };
-        for _ in 0..NODES {
-            w.nodes.push(Controller {
+        for _ in 0..CONTROLLER_COUNT {
+            cluster.controllers.push(Controller {
                 view: ClusterState::default(),
-                seen: 0,
-                new: false,
+                log_position: 0,
+                new_version: false,
             });
         }
-        w
+        cluster
     }
 
-    fn layout(&self) -> bool {
+    fn uses_new_layout(&self) -> bool {
         self.store.keys.contains_key(keys::LAYOUT)
     }
 
-    fn limits(&self, n: usize) -> TransactionLimits {
-        let layout = self.nodes[n].new && self.nodes[n].view.layout.is_some();
-        let (value, ops) = if layout { NARROW } else { WIDE };
+    fn limits(&self, controller: usize) -> TransactionLimits {
+        let layout = self.controllers[controller].new_version
+            && self.controllers[controller].view.layout.is_some();
+        let (value_limit, mutation_limit) = if layout {
+            LOWERED_LIMITS
+        } else {
+            INITIAL_LIMITS
+        };
         TransactionLimits {
-            max_mutations: ops,
+            max_mutations: mutation_limit,
             max_merged_mutations: 8,
             max_bytes: 48 * 1024,
-            max_value_bytes: value - 48,
+            max_value_bytes: value_limit - 48,
             newer_layout: layout,
             packed: layout,
-            wall_clock: self.wall,
+            wall_clock: self.wall_clock,
         }
     }
 
-    fn sync(&mut self, n: usize) {
-        let node = &mut self.nodes[n];
-        for (rev, key, v) in &self.store.log[node.seen..] {
-            match v {
-                Some(v) => node.view.put(key, v, *rev),
-                None => node.view.delete(key, *rev),
+    fn sync(&mut self, controller: usize) {
+        let state = &mut self.controllers[controller];
+        for (revision, key, value) in &self.store.log[state.log_position..] {
+            match value {
+                Some(value) => state.view.put(key, value, *revision),
+                None => state.view.delete(key, *revision),
             }
         }
-        node.seen = self.store.log.len();
-        node.view.revision = self.store.rev;
-        common::indexed(&node.view);
+        state.log_position = self.store.log.len();
+        state.view.revision = self.store.rev;
+        common::indexed(&state.view);
     }
 
-    /// A process that comes back reads everything but the final states.
-    fn restart(&mut self, n: usize, new: bool) {
+    /// Restarts a controller. It loads everything but the final states of jobs.
+    fn restart(&mut self, controller: usize, new_version: bool) {
         let mut view = ClusterState::default();
-        for (k, (v, stamp)) in &self.store.keys {
-            if keys::LOADED.iter().any(|p| k.starts_with(p)) {
-                view.put(k, v, *stamp);
+        for (key, (value, version)) in &self.store.keys {
+            if keys::LOADED.iter().any(|prefix| key.starts_with(prefix)) {
+                view.put(key, value, *version);
             }
         }
         view.revision = self.store.rev;
-        self.nodes[n] = Controller {
+        self.controllers[controller] = Controller {
             view,
-            seen: self.store.log.len(),
-            new,
+            log_position: self.store.log.len(),
+            new_version,
         };
-        if new {
+        if new_version {
             self.put(
-                keys::version(&name(n)),
+                keys::version(&controller_name(controller)),
                 &Version {
                     version: LAYOUT_VERSION,
                 },
             );
         }
-        let members = (0..NODES).map(|n| {
-            let version = if self.nodes[n].new { LAYOUT_VERSION } else { 0 };
-            let m = Member {
+        let members = (0..CONTROLLER_COUNT).map(|controller| {
+            let version = if self.controllers[controller].new_version {
+                LAYOUT_VERSION
+            } else {
+                0
+            };
+            let member = Member {
                 lease: 1,
                 since: 0,
                 unreachable_by_workers: false,
                 version,
                 restart_count: 0,
             };
-            (name(n), m)
+            (controller_name(controller), member)
         });
         let members: BTreeMap<String, Member> = members.collect();
-        self.sync(n);
-        let names: Vec<String> = (0..NODES).map(name).collect();
-        let view = &self.nodes[n].view;
-        if new && all_support_layout(names.iter().map(String::as_str), &view.versions, &members) {
+        self.sync(controller);
+        let names: Vec<String> = (0..CONTROLLER_COUNT).map(controller_name).collect();
+        let view = &self.controllers[controller].view;
+        if new_version
+            && all_support_layout(names.iter().map(String::as_str), &view.versions, &members)
+        {
             self.put(
                 keys::LAYOUT.into(),
                 &Version {
@@ -256,332 +286,402 @@
         }
     }
 
-    fn put<T: serde::Serialize>(&mut self, key: String, v: &T) {
+    fn put<T: serde::Serialize>(&mut self, key: String, value: &T) {
         self.store.apply(&Transaction {
             preconditions: vec![],
             mutations: vec![Mutation::Put {
                 key,
-                value: to_value(v),
+                value: to_value(value),
                 lease: None,
             }],
         });
     }
 
-    /// Carries a transaction out, or holds it back to be applied late, with or without an answer.
-    fn commit(&mut self, n: usize, t: Transaction, fate: u8) -> bool {
-        self.store.check(&t);
-        if fate.is_multiple_of(7) {
-            self.late.push(t);
+    /// Applies a transaction, with or without a response to the controller, or holds it back to be applied
+    /// later.
+    fn commit(&mut self, controller: usize, transaction: Transaction, outcome_seed: u8) -> bool {
+        self.store.check_limits(&transaction);
+        if outcome_seed.is_multiple_of(7) {
+            self.delayed.push(transaction);
             return false;
         }
-        let ok = self.run(&t);
-        if ok && !fate.is_multiple_of(5) {
-            // Applied ahead of the watch.
-            let rev = self.store.rev;
-            for c in &t.mutations {
-                match c {
+        let committed = self.apply_and_check(&transaction);
+        if committed && !outcome_seed.is_multiple_of(5) {
+            // The view includes the change before the watch delivers it.
+            let revision = self.store.rev;
+            for mutation in &transaction.mutations {
+                match mutation {
                     Mutation::Put {
-                        key: put, value: v, ..
-                    } => self.nodes[n].view.put(put, v, rev),
-                    Mutation::Delete { key: remove } => self.nodes[n].view.delete(remove, rev),
+                        key: written_key,
+                        value: new_value,
+                        ..
+                    } => self.controllers[controller]
+                        .view
+                        .put(written_key, new_value, revision),
+                    Mutation::Delete { key: deleted_key } => self.controllers[controller]
+                        .view
+                        .delete(deleted_key, revision),
                 }
             }
         }
-        if !ok {
-            self.sync(n);
+        if !committed {
+            self.sync(controller);
         }
-        ok
+        committed
     }
 
-    fn run(&mut self, t: &Transaction) -> bool {
-        if !self.store.apply(t) {
+    fn apply_and_check(&mut self, transaction: &Transaction) -> bool {
+        if !self.store.apply(transaction) {
             return false;
         }
-        let old = !self.layout();
-        for c in &t.mutations {
+        let old_layout = !self.uses_new_layout();
+        for mutation in &transaction.mutations {
             let Mutation::Put {
-                key: put, value: v, ..
-            } = c
+                key: written_key,
+                value: new_value,
+                ..
+            } = mutation
             else {
                 continue;
             };
-            if old {
-                // The version in production must be able to read it.
-                if put.starts_with("c/job/") {
-                    assert!(from_value::<OldRecord>(v).is_some(), "{put} is unreadable");
-                } else if put.starts_with("c/block/") {
+            if old_layout {
+                // The version in production must be able to read the value.
+                if written_key.starts_with("c/job/") {
+                    assert!(
+                        from_value::<OldJobRecord>(new_value).is_some(),
+                        "{written_key} is unreadable"
+                    );
+                } else if written_key.starts_with("c/block/") {
                     assert!(
-                        from_value::<Vec<OldSlot>>(v).is_some(),
-                        "{put} is unreadable"
+                        from_value::<Vec<OldTaskState>>(new_value).is_some(),
+                        "{written_key} is unreadable"
                     );
                 }
-                assert!(!put.starts_with("c/slots/") && !put.starts_with("c/needs/"));
+                assert!(
+                    !written_key.starts_with("c/slots/") && !written_key.starts_with("c/needs/")
+                );
             }
         }
-        // Whatever is placed now, by whichever view: everything before it must be done.
-        let mut fresh = ClusterState::default();
-        for (k, (v, stamp)) in &self.store.keys {
-            fresh.put(k, v, *stamp);
+        // Every dependency of a newly placed task must be done, whichever view the placement was based on.
+        let mut current = ClusterState::default();
+        for (key, (value, version)) in &self.store.keys {
+            current.put(key, value, *version);
         }
-        let mut on = BTreeSet::new();
-        for (id, j) in &fresh.jobs {
-            on.extend(j.placements().map(|(i, _)| (id.to_string(), i)));
+        let mut placed_tasks = BTreeSet::new();
+        for (id, job) in &current.jobs {
+            placed_tasks.extend(job.placements().map(|(index, _)| (id.to_string(), index)));
         }
-        for (id, i) in on.difference(&self.on) {
-            for n in self.needs.get(id).into_iter().flatten() {
-                let f = self.store.finished_job(n);
+        for (id, index) in placed_tasks.difference(&self.placed_tasks) {
+            for dependency in self.dependencies.get(id).into_iter().flatten() {
+                let finished = self.store.finished_job(dependency);
                 assert!(
-                    f.is_some_and(|f| !f.cancelled),
-                    "too_early: {id}/{i} before {n}"
+                    finished.is_some_and(|finished| !finished.cancelled),
+                    "too_early: {id}/{index} before {dependency}"
                 );
             }
-            assert_ne!(self.told.get(id), Some(&Status::Cancelled), "ran_cancelled");
+            assert_ne!(
+                self.reported.get(id),
+                Some(&Status::Cancelled),
+                "ran_cancelled"
+            );
         }
-        self.on = on;
+        self.placed_tasks = placed_tasks;
         true
     }
 
-    fn read_final(&mut self, n: usize, id: &str) -> bool {
-        let f = self.store.finished_job(id);
-        if let Some(f) = f {
-            self.nodes[n].view.remember_finished_job(&id.into(), f);
+    fn read_finished_job(&mut self, controller: usize, id: &str) -> bool {
+        let finished = self.store.finished_job(id);
+        if let Some(finished) = finished {
+            self.controllers[controller]
+                .view
+                .remember_finished_job(&id.into(), finished);
         }
-        f.is_some()
+        finished.is_some()
     }
 
-    fn submit(&mut self, n: usize, mut s: JobSpec, picks: &[u8]) {
-        let id = format!("req-{:06}", self.order.len());
-        let names: Vec<String> = picks
+    fn submit(&mut self, controller: usize, mut spec: JobSpec, dependency_picks: &[u8]) {
+        let id = format!("req-{:06}", self.submitted.len());
+        let dependency_ids: Vec<String> = dependency_picks
             .iter()
-            .filter(|_| !self.order.is_empty())
-            .map(|p| self.order[usize::from(*p) % self.order.len()].clone())
+            .filter(|_| !self.submitted.is_empty())
+            .map(|p| self.submitted[usize::from(*p) % self.submitted.len()].clone())
             .collect();
-        if !names.is_empty() {
-            if self.nodes[n].view.layout.is_none() || !self.nodes[n].new {
-                return; // 503
+        if !dependency_ids.is_empty() {
+            if self.controllers[controller].view.layout.is_none()
+                || !self.controllers[controller].new_version
+            {
+                return; // Refused with 503.
             }
-            let mut list = check_dependencies(&self.nodes[n].view, &id, &names);
-            if let DependencyCheck::Unknown(u) = list {
-                for x in &u {
-                    self.read_final(n, x);
+            let mut dependencies =
+                check_dependencies(&self.controllers[controller].view, &id, &dependency_ids);
+            if let DependencyCheck::Unknown(unknown) = dependencies {
+                for unknown_id in &unknown {
+                    self.read_finished_job(controller, unknown_id);
                 }
-                self.sync(n);
-                list = check_dependencies(&self.nodes[n].view, &id, &names);
+                self.sync(controller);
+                dependencies =
+                    check_dependencies(&self.controllers[controller].view, &id, &dependency_ids);
             }
-            let DependencyCheck::Accepted(list) = list else {
-                panic!("422 for accepted jobs: {list:?}");
+            let DependencyCheck::Accepted(dependencies) = dependencies else {
+                panic!("422 for accepted jobs: {dependencies:?}");
             };
-            s.dependencies.jobs = JobIdList(list);
+            spec.dependencies.jobs = JobIdList(dependencies);
         }
-        s.submitted_at = self.wall;
-        let limits = self.limits(n);
-        self.needs.insert(id.clone(), names);
-        self.order.push(id.clone());
+        spec.submitted_at = self.wall_clock;
+        let limits = self.limits(controller);
+        self.dependencies.insert(id.clone(), dependency_ids);
+        self.submitted.push(id.clone());
         for _ in 0..9 {
-            let steps = accept_submission(&self.nodes[n].view, &id, s.clone(), limits);
-            for t in steps.expect("fits into values") {
-                self.store.check(&t);
-                assert!(self.run(&t));
-                if t.mutations.iter().any(|c| c.key() == keys::job(&id)) {
+            let transactions = accept_submission(
+                &self.controllers[controller].view,
+                &id,
+                spec.clone(),
+                limits,
+            );
+            for transaction in transactions.expect("the submission fits into the value limit") {
+                self.store.check_limits(&transaction);
+                assert!(self.apply_and_check(&transaction));
+                if transaction
+                    .mutations
+                    .iter()
+                    .any(|c| c.key() == keys::job(&id))
+                {
                     return;
                 }
             }
-            self.sync(n);
+            self.sync(controller);
         }
-        panic!("never accepted");
+        panic!("submission never accepted");
     }
 
-    /// The state as a user is told it.
-    fn poll(&mut self, n: usize, id: &str) -> Option<Status> {
-        let last = |s: Status| matches!(s, Status::Done | Status::Cancelled);
-        let mut a = answer(&self.nodes[n].view, id).map(|a| a.status);
-        if !a.is_some_and(last) {
-            if a.is_none() {
-                self.read_final(n, id);
+    /// Returns the status of a job as a user receives it.
+    fn poll(&mut self, controller: usize, id: &str) -> Option<Status> {
+        let is_final = |s: Status| matches!(s, Status::Done | Status::Cancelled);
+        let mut status = answer(&self.controllers[controller].view, id).map(|answer| answer.status);
+        if !status.is_some_and(is_final) {
+            if status.is_none() {
+                self.read_finished_job(controller, id);
             }
-            self.sync(n);
-            for x in self.nodes[n].view.unknown_ancestors(id) {
-                assert!(self.read_final(n, &x), "neither unfinished nor over: {x}");
+            self.sync(controller);
+            for ancestor in self.controllers[controller].view.unknown_ancestors(id) {
+                assert!(
+                    self.read_finished_job(controller, &ancestor),
+                    "neither unfinished nor finished: {ancestor}"
+                );
             }
-            a = answer(&self.nodes[n].view, id).map(|a| a.status);
+            status = answer(&self.controllers[controller].view, id).map(|answer| answer.status);
         }
-        let a = a.expect("forgotten");
-        let cancelled = self.store.cancelled(&self.needs, id);
+        let status = status.expect("forgotten");
+        let cancelled = self.store.cancelled(&self.dependencies, id);
         assert_eq!(
-            a == Status::Cancelled,
+            status == Status::Cancelled,
             cancelled,
-            "orphaned, or cancelled by nobody: {id}"
+            "orphaned, or cancelled without a request: {id}"
         );
-        if let Some(before) = self.told.get(id)
-            && last(*before)
+        if let Some(previous) = self.reported.get(id)
+            && is_final(*previous)
         {
-            assert_eq!(a, *before, "went_back");
+            assert_eq!(status, *previous, "went_back");
         }
-        self.told.insert(id.into(), a);
-        Some(a)
+        self.reported.insert(id.into(), status);
+        Some(status)
     }
 
-    fn cancel(&mut self, n: usize, id: &str, fate: u8) {
-        if !self.nodes[n].new && self.layout() {
+    fn cancel(&mut self, controller: usize, id: &str, outcome_seed: u8) {
+        if !self.controllers[controller].new_version && self.uses_new_layout() {
             return;
         }
         for _ in 0..12 {
-            if matches!(self.poll(n, id), Some(Status::Done | Status::Cancelled)) {
+            if matches!(
+                self.poll(controller, id),
+                Some(Status::Done | Status::Cancelled)
+            ) {
                 return;
             }
             let job: JobId = id.into();
-            let Some(t) = cancel(&self.nodes[n].view, &job, self.limits(n)) else {
+            let Some(transaction) = cancel(
+                &self.controllers[controller].view,
+                &job,
+                self.limits(controller),
+            ) else {
                 return;
             };
-            if !self.commit(n, t, fate) && fate.is_multiple_of(7) {
+            if !self.commit(controller, transaction, outcome_seed) && outcome_seed.is_multiple_of(7)
+            {
                 return;
             }
         }
-        panic!("a cancellation that never comes through");
+        panic!("cancellation never committed");
     }
 
-    fn intents(&self, n: usize, pick: u8) -> Vec<JobChange> {
-        let view = &self.nodes[n].view;
-        let mut out = Vec::new();
-        for (k, (id, j)) in view.jobs.iter().enumerate() {
-            // Placement is tried for every job: what may not start must be kept back by the guard.
-            let waiting: Vec<u32> = j
+    fn job_changes(&self, controller: usize, selector: u8) -> Vec<JobChange> {
+        let view = &self.controllers[controller].view;
+        let mut changes = Vec::new();
+        for (job_number, (id, job)) in view.jobs.iter().enumerate() {
+            // Placement is attempted for every job: the preconditions must reject those that may not start
+            // yet.
+            let waiting: Vec<u32> = job
                 .slots()
                 .filter(|(_, s)| matches!(s, TaskState::Waiting(_)))
-                .map(|(i, _)| i)
+                .map(|(task, _)| task)
                 .collect();
-            let machine =
-                |i: u32| -> MachineId { format!("m-{:06}", (i * 7 + k as u32) % 400).into() };
+            let machine = |task: u32| -> MachineId {
+                format!("m-{:06}", (task * 7 + job_number as u32) % 400).into()
+            };
             if !waiting.is_empty() {
-                out.push(JobChange::Place {
+                changes.push(JobChange::Place {
                     job: id.clone(),
-                    tasks: waiting.iter().map(|i| (*i, machine(*i), 1)).collect(),
+                    tasks: waiting
+                        .iter()
+                        .map(|task| (*task, machine(*task), 1))
+                        .collect(),
                 });
             }
-            for (i, p) in j.placements() {
-                if (i + u32::from(pick)).is_multiple_of(3) || j.cancelled() {
-                    out.push(JobChange::AttemptEnded {
+            for (task, placement) in job.placements() {
+                if (task + u32::from(selector)).is_multiple_of(3) || job.cancelled() {
+                    changes.push(JobChange::AttemptEnded {
                         job: id.clone(),
-                        index: i,
-                        attempt: p.attempt,
-                        done: !i.wrapping_add(p.attempt).is_multiple_of(4),
+                        index: task,
+                        attempt: placement.attempt,
+                        done: !task.wrapping_add(placement.attempt).is_multiple_of(4),
                     });
-                } else if (i + u32::from(pick)).is_multiple_of(11) {
-                    out.push(JobChange::Stop {
+                } else if (task + u32::from(selector)).is_multiple_of(11) {
+                    changes.push(JobChange::Stop {
                         job: id.clone(),
-                        index: i,
-                        attempt: p.attempt,
-                        grace: 4_000_000 + u64::from(i) * 1000,
+                        index: task,
+                        attempt: placement.attempt,
+                        grace: 4_000_000 + u64::from(task) * 1000,
                     });
                 }
             }
-            out.push(JobChange::Finalize { job: id.clone() });
+            changes.push(JobChange::Finalize { job: id.clone() });
         }
-        out
+        changes
     }
 
-    fn pass(&mut self, n: usize, pick: u8, fate: u8) {
-        // An old process must not be asked to write once the newer layout is in force: there is none.
-        assert!(self.nodes[n].new || !self.layout());
-        let intents = self.intents(n, pick);
-        let l = self.limits(n);
-        for s in stage(
-            &self.nodes[n].view,
-            &intents,
+    fn reconcile(&mut self, controller: usize, selector: u8, outcome_seed: u8) {
+        // Once the newer layout is in use, no controller of the old version is left that could write.
+        assert!(self.controllers[controller].new_version || !self.uses_new_layout());
+        let changes = self.job_changes(controller, selector);
+        let limits = self.limits(controller);
+        for staged in stage(
+            &self.controllers[controller].view,
+            &changes,
             &HashSet::new(),
             &|_| false,
-            l,
+            limits,
         ) {
-            self.commit(n, s.transaction, fate);
+            self.commit(controller, staged.transaction, outcome_seed);
         }
-        if fate.is_multiple_of(3)
-            && let Some(t) = collect_garbage(&self.nodes[n].view, l)
+        if outcome_seed.is_multiple_of(3)
+            && let Some(transaction) = collect_garbage(&self.controllers[controller].view, limits)
         {
-            self.commit(n, t, fate);
+            self.commit(controller, transaction, outcome_seed);
         }
     }
 
-    fn step(&mut self, op: u8, a: u8, b: u8) {
-        self.wall += 100_000;
-        let n = usize::from(a) % NODES;
-        match op % 12 {
+    fn step(&mut self, operation: u8, first: u8, second: u8) {
+        self.wall_clock += 100_000;
+        let controller = usize::from(first) % CONTROLLER_COUNT;
+        match operation % 12 {
             0 | 1 => {
-                let tasks = [1, 3, 40, 130, 300][usize::from(b) % 5];
-                self.submit(n, spec(JobKind::Array, tasks), &[]);
+                let tasks = [1, 3, 40, 130, 300][usize::from(second) % 5];
+                self.submit(controller, spec(JobKind::Array, tasks), &[]);
             }
-            2 => self.submit(n, spec(JobKind::Gang, [2, 32, 64][usize::from(b) % 3]), &[]),
-            3 => self.submit(n, spec(JobKind::Array, 2), &[a, b]),
-            4 => self.submit(n, spec(JobKind::Gang, 3), &[b, b.wrapping_add(a), b / 2]),
-            5 if !self.order.is_empty() => {
-                let id = self.order[usize::from(b) % self.order.len()].clone();
-                self.cancel(n, &id, a);
+            2 => self.submit(
+                controller,
+                spec(JobKind::Gang, [2, 32, 64][usize::from(second) % 3]),
+                &[],
+            ),
+            3 => self.submit(controller, spec(JobKind::Array, 2), &[first, second]),
+            4 => self.submit(
+                controller,
+                spec(JobKind::Gang, 3),
+                &[second, second.wrapping_add(first), second / 2],
+            ),
+            5 if !self.submitted.is_empty() => {
+                let id = self.submitted[usize::from(second) % self.submitted.len()].clone();
+                self.cancel(controller, &id, first);
             }
-            6 | 7 => self.pass(n, b, a),
-            8 => self.sync(n),
+            6 | 7 => self.reconcile(controller, second, first),
+            8 => self.sync(controller),
             9 => {
-                // Every process dies sooner or later; from its turn on it comes back new.
-                let new = self.nodes[n].new || b.is_multiple_of(3);
-                self.restart(n, new);
+                // Any controller may restart, possibly upgraded; an upgraded one stays on the new version.
+                let new_version =
+                    self.controllers[controller].new_version || second.is_multiple_of(3);
+                self.restart(controller, new_version);
             }
-            10 if !self.late.is_empty() => {
-                let t = self.late.swap_remove(usize::from(b) % self.late.len());
-                if self.store.limits == WIDE {
-                    self.run(&t);
-                } else if t.largest() <= NARROW.0 && t.mutations.len() <= NARROW.1 {
-                    // A larger one is refused once the limits fell.
-                    self.run(&t);
+            10 if !self.delayed.is_empty() => {
+                let transaction = self
+                    .delayed
+                    .swap_remove(usize::from(second) % self.delayed.len());
+                if self.store.limits == INITIAL_LIMITS {
+                    self.apply_and_check(&transaction);
+                } else if transaction.largest() <= LOWERED_LIMITS.0
+                    && transaction.mutations.len() <= LOWERED_LIMITS.1
+                {
+                    // The state service rejects a larger one after its limits were lowered.
+                    self.apply_and_check(&transaction);
                 }
             }
-            11 if self.layout() && self.nodes.iter().all(|n| n.view.layout.is_some()) => {
-                self.store.limits = NARROW;
+            11 if self.uses_new_layout()
+                && self
+                    .controllers
+                    .iter()
+                    .all(|controller| controller.view.layout.is_some()) =>
+            {
+                self.store.limits = LOWERED_LIMITS;
             }
             _ => {
-                if let Some(id) = self.order.get(usize::from(b)) {
+                if let Some(id) = self.submitted.get(usize::from(second)) {
                     let id = id.clone();
-                    self.poll(n, &id);
+                    self.poll(controller, &id);
                 }
             }
         }
     }
 
-    /// Without further failures everything ends, and nothing is left behind.
+    /// Runs without further failures, and asserts that all jobs end and that none of their keys remain.
     fn settle(&mut self) {
-        for n in 0..NODES {
-            self.restart(n, true);
+        for controller in 0..CONTROLLER_COUNT {
+            self.restart(controller, true);
         }
-        for n in 0..NODES {
-            self.sync(n);
+        for controller in 0..CONTROLLER_COUNT {
+            self.sync(controller);
         }
-        self.store.limits = NARROW;
+        self.store.limits = LOWERED_LIMITS;
         for round in 0..400u32 {
-            let n = round as usize % NODES;
-            self.sync(n);
-            for x in self.nodes[n].view.unknown_dependencies() {
-                self.read_final(n, &x);
+            let controller = round as usize % CONTROLLER_COUNT;
+            self.sync(controller);
+            for dependency in self.controllers[controller].view.unknown_dependencies() {
+                self.read_finished_job(controller, &dependency);
             }
-            self.pass(n, (round / 3) as u8, 3);
-            if !self.store.keys.keys().any(|k| k.starts_with("c/job/")) {
+            self.reconcile(controller, (round / 3) as u8, 3);
+            if !self.store.keys.keys().any(|key| key.starts_with("c/job/")) {
                 break;
             }
         }
         for _ in 0..200 {
             self.sync(0);
-            if let Some(t) = collect_garbage(&self.nodes[0].view, self.limits(0)) {
-                self.commit(0, t, 1);
+            if let Some(transaction) = collect_garbage(&self.controllers[0].view, self.limits(0)) {
+                self.commit(0, transaction, 1);
             }
         }
-        let left: Vec<&String> = self
+        let remaining_keys: Vec<&String> = self
             .store
             .keys
             .keys()
-            .filter(|k| {
+            .filter(|key| {
                 ["c/job/", "c/block/", "c/slots/", "c/needs/"]
                     .iter()
-                    .any(|p| k.starts_with(p))
+                    .any(|prefix| key.starts_with(prefix))
             })
             .collect();
-        assert!(left.is_empty(), "never ended: {left:?}");
-        for id in self.order.clone() {
+        assert!(
+            remaining_keys.is_empty(),
+            "keys of jobs that never ended: {remaining_keys:?}"
+        );
+        for id in self.submitted.clone() {
             self.poll(0, &id);
         }
     }
@@ -590,41 +690,42 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, max_shrink_iters: 200, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// too_early, orphaned, went_back, forgotten and every limit, whatever comes in which order:
-    /// versions side by side, restarts, late and unanswered transactions, limits that fall.
+    /// Checks the invariants too_early, orphaned, went_back, forgotten and every limit under any order of
+    /// operations: mixed versions, restarts, delayed and unanswered transactions, and limits that are
+    /// lowered.
     #[test]
-    fn pipelines_and_versions_keep_the_rules(ops in proptest::collection::vec(any::<(u8, u8, u8)>(), 40..160)) {
-        let mut w = World::new();
-        for (op, a, b) in ops {
-            w.step(op, a, b);
+    fn pipelines_and_mixed_versions_keep_the_invariants(operations in proptest::collection::vec(any::<(u8, u8, u8)>(), 40..160)) {
+        let mut cluster = TestCluster::new();
+        for (operation, first, second) in operations {
+            cluster.step(operation, first, second);
         }
-        w.settle();
+        cluster.settle();
     }
 
-    /// Whatever a block holds is read again as it was, in every form.
+    /// A block decodes to the same block in every form in which it is stored.
     #[test]
-    fn packed_blocks_are_read_as_they_were(slots in proptest::collection::vec((0u8..4, 0u32..3, 0u8..5, 1u64..3), 0..256)) {
-        let b = TaskBlock(slots.iter().map(|(k, a, h, s)| match k {
-            0 => TaskState::Waiting(*a),
+    fn stored_blocks_survive_a_round_trip(slots in proptest::collection::vec((0u8..4, 0u32..3, 0u8..5, 1u64..3), 0..256)) {
+        let block = TaskBlock(slots.iter().map(|(kind, attempt, machine, session)| match kind {
+            0 => TaskState::Waiting(*attempt),
             1 => TaskState::Done,
-            k => TaskState::Placed(Placement {
-                attempt: *a,
-                machine: format!("m-{h}").into(),
-                session: *s,
-                stop: (*k == 3).then_some(6_000_000),
+            kind => TaskState::Placed(Placement {
+                attempt: *attempt,
+                machine: format!("m-{machine}").into(),
+                session: *session,
+                stop: (*kind == 3).then_some(6_000_000),
             }),
         }).collect());
-        for form in [StoredBlock::Plain(b.clone()), StoredBlock::Packed(b.clone()), StoredBlock::Split(64)] {
+        for form in [StoredBlock::Plain(block.clone()), StoredBlock::Packed(block.clone()), StoredBlock::Split(64)] {
             prop_assert_eq!(from_value::<StoredBlock>(&to_value(&form)), Some(form));
         }
     }
 }
 
-fn placed_apart(tasks: u32) -> TaskBlock {
-    let place = |i: u32| {
+fn tasks_on_separate_machines(tasks: u32) -> TaskBlock {
+    let place = |index: u32| {
         TaskState::Placed(Placement {
-            attempt: 1 + i % 3,
-            machine: format!("m-{i:06}").into(),
+            attempt: 1 + index % 3,
+            machine: format!("m-{index:06}").into(),
             session: 1,
             stop: None,
         })
@@ -632,96 +733,107 @@
     TaskBlock((0..tasks).map(place).collect())
 }
 
-/// A record in the old layout, its 256 tasks on as many machines, is too large to be written again
-/// after the fall. It still gets its cancellation, with one write, and its end.
+/// A record in the old layout, with 256 tasks on 256 machines, is too large to be rewritten after the limits
+/// were lowered. The job can still be cancelled, with one write, and ends.
 #[test]
-fn an_old_record_is_cancelled_and_ends_under_lower_limits() {
-    let mut w = World::new();
-    w.put(
+fn an_oversized_old_record_can_be_cancelled() {
+    let mut cluster = TestCluster::new();
+    cluster.put(
         keys::job("req-000000"),
-        &JobRecord(spec(JobKind::Array, 256), placed_apart(256)),
+        &JobRecord(spec(JobKind::Array, 256), tasks_on_separate_machines(256)),
     );
-    w.order.push("req-000000".into());
-    for n in 0..NODES {
-        w.restart(n, true);
-    }
-    w.restart(0, true);
-    w.store.limits = NARROW;
-    let before = w.store.rev;
-    w.cancel(0, "req-000000", 1);
-    assert_eq!(w.store.rev - before, 1, "more than one write for an answer");
-    w.on = (0..256).map(|i| ("req-000000".to_string(), i)).collect();
-    w.settle();
-    assert_eq!(w.told["req-000000"], Status::Cancelled);
+    cluster.submitted.push("req-000000".into());
+    for n in 0..CONTROLLER_COUNT {
+        cluster.restart(n, true);
+    }
+    cluster.restart(0, true);
+    cluster.store.limits = LOWERED_LIMITS;
+    let revision_before = cluster.store.rev;
+    cluster.cancel(0, "req-000000", 1);
+    assert_eq!(
+        cluster.store.rev - revision_before,
+        1,
+        "more than one write for a cancellation"
+    );
+    cluster.placed_tasks = (0..256).map(|i| ("req-000000".to_string(), i)).collect();
+    cluster.settle();
+    assert_eq!(cluster.reported["req-000000"], Status::Cancelled);
 }
 
-/// A gang of 32 on 32 machines of all parts fits into one transaction of 5 changes and 20 conditions.
+/// The placement of a gang of 32 tasks on 32 machines in all shards fits into one transaction of 5 mutations
+/// and 20 preconditions.
 #[test]
-fn a_gang_on_many_machines_is_one_transaction_under_lower_limits() {
-    let mut w = World::new();
-    for n in 0..NODES {
-        w.restart(n, true);
-    }
-    w.restart(0, true);
-    w.store.limits = NARROW;
-    w.submit(0, spec(JobKind::Gang, 32), &[]);
-    w.sync(0);
+fn a_large_gang_fits_into_one_transaction() {
+    let mut cluster = TestCluster::new();
+    for n in 0..CONTROLLER_COUNT {
+        cluster.restart(n, true);
+    }
+    cluster.restart(0, true);
+    cluster.store.limits = LOWERED_LIMITS;
+    cluster.submit(0, spec(JobKind::Gang, 32), &[]);
+    cluster.sync(0);
     let tasks = (0..32)
         .map(|i| (i, format!("m-{i:06}").into(), 1))
         .collect();
     let job: JobId = "req-000000".into();
-    let list = stage(
-        &w.nodes[0].view,
+    let staged = stage(
+        &cluster.controllers[0].view,
         &[JobChange::Place { job, tasks }],
         &HashSet::new(),
         &|_| false,
-        w.limits(0),
+        cluster.limits(0),
     );
-    assert_eq!(list.len(), 1);
-    let shards = list[0]
+    assert_eq!(staged.len(), 1);
+    let shards = staged[0]
         .transaction
         .preconditions
         .iter()
         .filter(|g| g.key.starts_with("c/part/"));
     assert!(
         shards.count() > 8,
-        "the terms of all parts stand for the machines"
+        "preconditions on the terms of all shards replace those on the machines"
     );
-    assert!(w.commit(0, list[0].transaction.clone(), 1));
-    w.sync(0);
-    assert_eq!(w.nodes[0].view.jobs["req-000000"].placed, 32);
+    assert!(cluster.commit(0, staged[0].transaction.clone(), 1));
+    cluster.sync(0);
+    assert_eq!(cluster.controllers[0].view.jobs["req-000000"].placed, 32);
 }
 
-/// A list of needed jobs that fits into no value is split, written before the record, and read again;
-/// the job waits for every one of them.
+/// A list of dependencies that exceeds the value limit is split over several keys, which are written before
+/// the job record and read back; the job waits for every dependency.
 #[test]
-fn long_lists_of_needed_jobs_are_split() {
-    let mut w = World::new();
+fn long_dependency_lists_are_split() {
+    let mut cluster = TestCluster::new();
     for n in [0, 1, 2, 0] {
-        w.restart(n, true);
+        cluster.restart(n, true);
     }
-    w.store.limits = NARROW;
+    cluster.store.limits = LOWERED_LIMITS;
     for _ in 0..700 {
-        w.submit(0, spec(JobKind::Array, 1), &[]);
-        w.sync(0);
+        cluster.submit(0, spec(JobKind::Array, 1), &[]);
+        cluster.sync(0);
     }
-    // An earlier try was cut off after its first key, with other jobs in it.
-    w.put(
+    // An earlier attempt at the submission was interrupted after its first key, which lists another job.
+    cluster.put(
         keys::dependency_list("req-000700", 0),
         &JobIdList(vec!["req-000003".into()]),
     );
-    w.sync(0);
-    let mut s = spec(JobKind::Array, 1);
-    s.dependencies.jobs = JobIdList(w.order.iter().map(|id| id.as_str().into()).collect());
-    w.submit(0, s, &[]);
-    w.restart(1, true);
-    let view = &w.nodes[1].view;
+    cluster.sync(0);
+    let mut job_spec = spec(JobKind::Array, 1);
+    job_spec.dependencies.jobs = JobIdList(
+        cluster
+            .submitted
+            .iter()
+            .map(|id| id.as_str().into())
+            .collect(),
+    );
+    cluster.submit(0, job_spec, &[]);
+    cluster.restart(1, true);
+    let view = &cluster.controllers[1].view;
     let last = &view.jobs["req-000700"];
     assert!(last.spec.dependencies.keys > 1 && last.dependencies.len() == 700 && !last.ready);
-    let before: Vec<String> = w.order[..700].to_vec();
-    for id in &before {
-        assert!(!w.nodes[1].view.jobs["req-000700"].ready);
-        let t = Transaction {
+    let dependencies: Vec<String> = cluster.submitted[..700].to_vec();
+    for id in &dependencies {
+        assert!(!cluster.controllers[1].view.jobs["req-000700"].ready);
+        let transaction = Transaction {
             preconditions: vec![],
             mutations: vec![
                 Mutation::Put {
@@ -736,24 +848,24 @@
                 Mutation::Delete { key: keys::job(id) },
             ],
         };
-        assert!(w.store.apply(&t));
-        w.sync(1);
+        assert!(cluster.store.apply(&transaction));
+        cluster.sync(1);
     }
-    assert!(w.nodes[1].view.jobs["req-000700"].ready);
+    assert!(cluster.controllers[1].view.jobs["req-000700"].ready);
 }
 
-/// A charter of 50 machines is closed under 20 conditions a transaction, and every machine has a key
-/// of its own at the moment when the charter stops naming it.
+/// A scale-out request for 50 machines is closed with at most 20 preconditions per transaction, and every
+/// machine has its own key by the time the request no longer lists it.
 #[test]
-fn a_charter_shrinks_in_steps() {
+fn a_scale_out_request_shrinks_in_steps() {
     let limits = coppergw::settings::StateLimits {
         rps: 1.0,
         write_rps: 1.0,
         max_value_bytes: 2048,
         max_mutations: 5,
     };
-    let mut v = ClusterState::default();
-    let names: Vec<String> = (0..50).map(|i| format!("m-{i:06}")).collect();
+    let mut view = ClusterState::default();
+    let names: Vec<String> = (0..50).map(|index| format!("m-{index:06}")).collect();
     let scale_out_request = ScaleOutRequest {
         machine_type: "t".into(),
         zone: "z".into(),
@@ -762,43 +874,43 @@
         requested_at: 0,
         machines: names.clone(),
     };
-    v.put(
+    view.put(
         &keys::scale_out_request("a"),
         &to_value(&scale_out_request),
         1,
     );
     assert!(
-        shrink_scale_out_request(&v, limits).is_none(),
-        "no machine has a key yet"
+        shrink_scale_out_request(&view, limits).is_none(),
+        "no machine has its own key yet"
     );
-    for (i, n) in names.iter().enumerate() {
-        let h = MachineRecord {
+    for (index, name) in names.iter().enumerate() {
+        let record = MachineRecord {
             state: MachineState::Up,
             ..scale_out_request.machine()
         };
-        v.put(&keys::machine(n), &to_value(&h), 2 + i as u64);
+        view.put(&keys::machine(name), &to_value(&record), 2 + index as u64);
     }
     for rev in 100.. {
-        let Some(t) = shrink_scale_out_request(&v, limits) else {
+        let Some(transaction) = shrink_scale_out_request(&view, limits) else {
             break;
         };
-        assert!(t.preconditions.len() <= limits.preconditions());
-        match &t.mutations[0] {
+        assert!(transaction.preconditions.len() <= limits.preconditions());
+        match &transaction.mutations[0] {
             Mutation::Put {
-                key: put,
-                value: val,
+                key: written_key,
+                value: new_value,
                 ..
-            } => v.put(put, val, rev),
-            Mutation::Delete { key: remove } => v.delete(remove, rev),
+            } => view.put(written_key, new_value, rev),
+            Mutation::Delete { key: deleted_key } => view.delete(deleted_key, rev),
         }
-        assert_eq!(v.machines.len(), 50);
+        assert_eq!(view.machines.len(), 50);
     }
-    assert!(v.scale_out_requests.is_empty());
+    assert!(view.scale_out_requests.is_empty());
 }
 
-/// Counts and raises that outgrow one value keep those that matter most.
+/// Task counts and priority boosts that exceed one value keep the most important entries.
 #[test]
-fn what_matters_most_fits() {
+fn oversized_maps_keep_the_highest_values() {
     let all: BTreeMap<String, (u32, u32)> =
         (0..500).map(|i| (format!("req-{i:06}"), (i, 2))).collect();
     let kept = fitting(all.clone(), 2000, &|_, (n, _)| *n);
@@ -807,12 +919,12 @@
     assert_eq!(fitting(all.clone(), 32_000, &|_, (n, _)| *n), all);
 }
 
-/// Until every controller has said durably that it knows the newer layout, none uses it: a process
-/// that died before its turn comes back old, whoever is alive just now.
+/// No controller uses the newer layout until every controller has recorded durably that it supports it: one
+/// that stopped before its upgrade restarts with the old version, whichever members are alive at the time.
 #[test]
-fn the_layout_changes_only_once_all_controllers_know_it() {
-    let v = |n: u32| Version { version: n };
-    let m = |version| Member {
+fn the_layout_changes_only_when_all_controllers_support_it() {
+    let version = |n: u32| Version { version: n };
+    let member = |version| Member {
         lease: 1,
         since: 0,
         unreachable_by_workers: false,
@@ -820,86 +932,99 @@
         restart_count: 0,
     };
     let names = ["a", "b", "c"];
-    let two = BTreeMap::from([("a".into(), v(2)), ("b".into(), v(2))]);
-    let all = BTreeMap::from([("a".into(), v(2)), ("b".into(), v(2)), ("c".into(), v(2))]);
-    let alive = BTreeMap::from([("a".to_string(), m(2)), ("b".to_string(), m(2))]);
-    let back = BTreeMap::from([("a".to_string(), m(2)), ("c".to_string(), m(0))]);
-    assert!(!all_support_layout(names.into_iter(), &two, &alive));
-    assert!(all_support_layout(names.into_iter(), &all, &alive));
+    let two_upgraded = BTreeMap::from([("a".into(), version(2)), ("b".into(), version(2))]);
+    let all_upgraded = BTreeMap::from([
+        ("a".into(), version(2)),
+        ("b".into(), version(2)),
+        ("c".into(), version(2)),
+    ]);
+    let live_members = BTreeMap::from([("a".to_string(), member(2)), ("b".to_string(), member(2))]);
+    let rolled_back = BTreeMap::from([("a".to_string(), member(2)), ("c".to_string(), member(0))]);
+    assert!(!all_support_layout(
+        names.into_iter(),
+        &two_upgraded,
+        &live_members
+    ));
+    assert!(all_support_layout(
+        names.into_iter(),
+        &all_upgraded,
+        &live_members
+    ));
     assert!(
-        !all_support_layout(names.into_iter(), &all, &back),
-        "one was rolled back"
+        !all_support_layout(names.into_iter(), &all_upgraded, &rolled_back),
+        "a member was rolled back"
     );
 }
 
-/// 422 for what was never accepted, for itself and for a service; what is done or given twice counts
-/// for nothing; of a cancelled one only that counts.
+/// A dependency on a job that was never accepted, on the job itself or on a service is rejected with 422.
+/// Finished and duplicate dependencies are dropped; a cancelled dependency replaces all others.
 #[test]
-fn named_jobs_are_told_apart() {
-    let mut v = ClusterState::default();
+fn dependency_checks_classify_jobs() {
+    let mut view = ClusterState::default();
     let record = |s: JobSpec| to_value(&JobRecord(s, TaskBlock::default()));
-    v.put(&keys::job("req-1"), &record(spec(JobKind::Array, 1)), 1);
-    v.put(&keys::job("req-2"), &record(spec(JobKind::Service, 1)), 2);
+    view.put(&keys::job("req-1"), &record(spec(JobKind::Array, 1)), 1);
+    view.put(&keys::job("req-2"), &record(spec(JobKind::Service, 1)), 2);
     let finished_job = |cancelled| FinishedJob {
         cancelled,
         done: 1,
         finished_at: 5,
     };
-    v.remember_finished_job(&"req-3".into(), finished_job(false));
-    v.remember_finished_job(&"req-4".into(), finished_job(true));
-    let ask = |l: &[&str]| {
-        let l: Vec<String> = l.iter().map(|s| s.to_string()).collect();
-        check_dependencies(&v, "req-9", &l)
+    view.remember_finished_job(&"req-3".into(), finished_job(false));
+    view.remember_finished_job(&"req-4".into(), finished_job(true));
+    let check = |names: &[&str]| {
+        let names: Vec<String> = names.iter().map(|s| s.to_string()).collect();
+        check_dependencies(&view, "req-9", &names)
     };
     assert_eq!(
-        ask(&["req-1", "req-3", "req-1"]),
+        check(&["req-1", "req-3", "req-1"]),
         DependencyCheck::Accepted(vec!["req-1".into()])
     );
     assert_eq!(
-        ask(&["req-1", "req-4"]),
+        check(&["req-1", "req-4"]),
         DependencyCheck::Accepted(vec!["req-4".into()])
     );
     assert_eq!(
-        ask(&["req-5", "req-1"]),
+        check(&["req-5", "req-1"]),
         DependencyCheck::Unknown(vec!["req-5".into()])
     );
-    assert!(matches!(ask(&["req-9"]), DependencyCheck::Impossible(_)));
-    assert!(matches!(ask(&["req-2"]), DependencyCheck::Impossible(_)));
+    assert!(matches!(check(&["req-9"]), DependencyCheck::Impossible(_)));
+    assert!(matches!(check(&["req-2"]), DependencyCheck::Impossible(_)));
 }
 
-/// Rank and deadline of a last job reach those before it; their waits count from the last `done`.
+/// The ancestors of the last job of a pipeline inherit its priority and deadline; the waiting time of a job
+/// starts when its last dependency is done.
 #[test]
-fn a_pipeline_has_the_rank_and_time_of_its_last_job() {
-    let mut v = ClusterState::default();
-    let put = |v: &mut ClusterState, id: &str, rev, s: JobSpec| {
-        v.put(
+fn ancestors_inherit_priority_and_deadline() {
+    let mut view = ClusterState::default();
+    let put = |view: &mut ClusterState, id: &str, rev, job_spec: JobSpec| {
+        view.put(
             &keys::job(id),
-            &to_value(&JobRecord(s, TaskBlock::default())),
+            &to_value(&JobRecord(job_spec, TaskBlock::default())),
             rev,
         );
     };
-    let step = |needs: &[&str]| {
-        let mut s = spec(JobKind::Array, 2);
-        s.deadline = None;
-        s.dependencies.jobs = JobIdList(needs.iter().map(|n| (*n).into()).collect());
-        s
+    let step = |dependencies: &[&str]| {
+        let mut job_spec = spec(JobKind::Array, 2);
+        job_spec.deadline = None;
+        job_spec.dependencies.jobs = JobIdList(dependencies.iter().map(|n| (*n).into()).collect());
+        job_spec
     };
-    // As a restart reads them: the last one comes first.
+    // Loaded in the order of a restart, with the last job first.
     let mut last = step(&["req-3"]);
     last.priority = Priority::High;
     last.deadline = Some(200_000_000);
-    put(&mut v, "req-1", 9, last.clone());
-    put(&mut v, "req-3", 8, step(&["req-4"]));
-    put(&mut v, "req-4", 7, step(&[]));
-    assert_eq!(v.jobs["req-4"].priority, Priority::High);
+    put(&mut view, "req-1", 9, last.clone());
+    put(&mut view, "req-3", 8, step(&["req-4"]));
+    put(&mut view, "req-4", 7, step(&[]));
+    assert_eq!(view.jobs["req-4"].priority, Priority::High);
     let due = last.submitted_at + 200_000_000;
     assert!(
-        v.jobs["req-4"]
+        view.jobs["req-4"]
             .deadline_at
             .is_some_and(|d| d < due - 2 * last.estimated_run_time)
     );
-    assert!(v.jobs["req-4"].ready && !v.jobs["req-3"].ready);
-    v.remember_finished_job(
+    assert!(view.jobs["req-4"].ready && !view.jobs["req-3"].ready);
+    view.remember_finished_job(
         &"req-4".into(),
         FinishedJob {
             cancelled: false,
@@ -907,7 +1032,7 @@
             finished_at: last.submitted_at + 77,
         },
     );
-    v.delete(&keys::job("req-4"), 10);
-    assert!(v.jobs["req-3"].ready && !v.jobs["req-1"].ready);
-    assert_eq!(v.jobs["req-3"].waiting_since, last.submitted_at + 77);
+    view.delete(&keys::job("req-4"), 10);
+    assert!(view.jobs["req-3"].ready && !view.jobs["req-1"].ready);
+    assert_eq!(view.jobs["req-3"].waiting_since, last.submitted_at + 77);
 }
