--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! Teams at their quotas: what is scaled out, which jobs start, and that no controller exceeds a quota.
+//! Teams at their quotas: scale-out, which jobs start, and that no controller exceeds a quota.
 
 mod common;
 
@@ -22,7 +22,8 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-const CPU: i64 = 1000;
+/// Amount in `Resources` of one CPU, one GPU or one gigabyte of memory.
+const THOUSANDTHS_PER_UNIT: i64 = 1000;
 
 fn teams(limit: i64) -> Vec<Team> {
     let team = |name: &str, cpus_max| Team {
@@ -32,24 +33,27 @@
         gpus: 0,
         gpus_max: 0,
     };
-    vec![team("capped", limit * CPU), team("free", 0)]
+    vec![
+        team("capped", limit * THOUSANDTHS_PER_UNIT),
+        team("free", 0),
+    ]
 }
 
-fn job(team: &str, kind: JobKind, rank: Priority, tasks: u32, cpus: i64) -> JobSpec {
+fn job(team: &str, kind: JobKind, job_priority: Priority, tasks: u32, cpus: i64) -> JobSpec {
     JobSpec {
         team: team.into(),
-        class: format!("{kind:?}-{rank:?}"),
-        priority: rank,
+        class: format!("{kind:?}-{job_priority:?}"),
+        priority: job_priority,
         resources: Resources {
-            cpus: cpus * CPU,
+            cpus: cpus * THOUSANDTHS_PER_UNIT,
             gpus: 0,
-            memory: CPU,
+            memory: THOUSANDTHS_PER_UNIT,
         },
         ..spec(kind, tasks)
     }
 }
 
-/// A fleet of machines with 16 CPUs, and what happens to it.
+/// A simulated cluster of machines with 16 CPUs.
 struct TestCluster {
     store: Store,
     teams: Vec<Team>,
@@ -58,77 +62,85 @@
 
 impl TestCluster {
     fn new(machines: usize, limit: i64) -> TestCluster {
-        let mut f = TestCluster {
+        let mut cluster = TestCluster {
             store: Store::default(),
             teams: teams(limit),
             now: 500 * SECOND,
         };
         let types = vec![machine_type("cpu", 16.0, 0.0)];
-        f.store.put(keys::TYPES.into(), &types);
-        for n in 0..SHARD_COUNT {
-            let p = Shard {
-                owner: format!("n{}", n % 3),
+        cluster.store.put(keys::TYPES.into(), &types);
+        for index in 0..SHARD_COUNT {
+            let shard = Shard {
+                owner: format!("n{}", index % 3),
                 lease: 1,
                 term: 1,
             };
-            f.store.put(keys::shard(n), &p);
+            cluster.store.put(keys::shard(index), &shard);
         }
-        for i in 0..machines {
-            let h = common::up("cpu");
-            f.store.put(keys::machine(&format!("m-{i:06}")), &h);
+        for index in 0..machines {
+            let machine = common::up("cpu");
+            cluster
+                .store
+                .put(keys::machine(&format!("m-{index:06}")), &machine);
         }
-        f
+        cluster
     }
 
-    fn job(&mut self, id: &str, s: &JobSpec) {
-        let s = JobSpec {
-            submitted_at: s.submitted_at.max(1),
-            ..s.clone()
+    fn job(&mut self, id: &str, spec: &JobSpec) {
+        let spec = JobSpec {
+            submitted_at: spec.submitted_at.max(1),
+            ..spec.clone()
         };
         self.store
-            .put(keys::job(id), &JobRecord(s, TaskBlock::default()));
+            .put(keys::job(id), &JobRecord(spec, TaskBlock::default()));
     }
 
     fn view(&self) -> ClusterState {
-        let mut v = ClusterState::default();
-        self.catch_up(&mut v, u64::MAX);
-        v
+        let mut view = ClusterState::default();
+        self.catch_up(&mut view, u64::MAX);
+        view
     }
 
-    /// Tells a view what was written up to a revision.
-    fn catch_up(&self, v: &mut ClusterState, to: u64) {
-        for (rev, key, x) in &self.store.log {
-            if *rev > v.revision && *rev <= to {
-                match x {
-                    Some(x) => v.put(key, x, *rev),
-                    None => v.delete(key, *rev),
+    /// Applies the changes up to a revision to a view.
+    fn catch_up(&self, view: &mut ClusterState, last_revision: u64) {
+        for (revision, key, value) in &self.store.log {
+            if *revision > view.revision && *revision <= last_revision {
+                match value {
+                    Some(value) => view.put(key, value, *revision),
+                    None => view.delete(key, *revision),
                 }
             }
         }
-        v.revision = v.revision.max(to.min(self.store.rev));
+        view.revision = view.revision.max(last_revision.min(self.store.rev));
     }
 
-    /// The plan of one controller of three (`None`: of one that owns everything).
-    fn plan(&self, v: &ClusterState, me: Option<u32>, forecast: bool) -> Schedule {
-        let mine = |id: &str| me.is_none_or(|n| shard_of(id) % 3 == n);
+    /// Returns the schedule of one controller of three (`None`: of one that owns all shards).
+    fn plan(
+        &self,
+        cluster_state: &ClusterState,
+        controller: Option<u32>,
+        forecast: bool,
+    ) -> Schedule {
+        let is_owned = |id: &str| controller.is_none_or(|n| shard_of(id) % 3 == n);
         schedule(&SchedulingInput {
-            view: v,
+            view: cluster_state,
             wall_clock: self.now,
             teams: &self.teams,
             objectives: &[],
-            schedulable: &|id, h| {
-                let up = h.state == MachineState::Up && (forecast || mine(id));
+            schedulable: &|id, record| {
+                let up = record.state == MachineState::Up && (forecast || is_owned(id));
                 up.then_some(SchedulableMachine {
-                    session: h.session,
-                    owned: mine(id),
+                    session: record.session,
+                    owned: is_owned(id),
                 })
             },
             freed: &HashMap::new(),
-            // A service whose owner has no room, or no machine left, is taken by the others.
-            in_backoff: &|id| !mine(id) && v.jobs[id].spec.kind != JobKind::Service,
-            owns_job: &mine,
-            owns_machine: &mine,
-            place_gangs: me.is_none_or(|n| n == 0),
+            // A service whose owner has no free capacity, or no machine left, is placed by the other
+            // controllers.
+            in_backoff: &|id| !is_owned(id) && cluster_state.jobs[id].spec.kind != JobKind::Service,
+            owns_job: &is_owned,
+            owns_machine: &is_owned,
+            place_gangs: controller.is_none_or(|n| n == 0),
             place_arrays: true,
             place_deadline_steps: true,
             forecast,
@@ -136,14 +148,18 @@
         })
     }
 
-    /// What the leader does about machines, without spot ones in place of ordinary ones.
-    fn rent(&self, v: &ClusterState, forecast: &Schedule) -> ScalingDecision {
+    /// Returns the leader's scaling decision, without spot machines in place of on-demand ones.
+    fn scaling_decision(
+        &self,
+        cluster_state: &ClusterState,
+        forecast: &Schedule,
+    ) -> ScalingDecision {
         let policy = Policy {
             use_spot: false,
             ..Policy::default()
         };
         decide(&CapacityForecast {
-            view: v,
+            view: cluster_state,
             schedule: forecast,
             policy: &policy,
             objectives: &[],
@@ -156,20 +172,21 @@
         })
     }
 
-    /// Stages a controller's intents on its view; the store takes what its conditions allow.
-    fn carry_out(&mut self, v: &ClusterState, intents: &[JobChange]) {
-        for s in stage(v, intents, &HashSet::new(), &|t| t == "capped", LIMITS) {
-            self.store.apply(&s.transaction);
+    /// Stages a controller's changes on its view; the store applies the transactions whose preconditions
+    /// hold.
+    fn stage_and_apply(&mut self, view: &ClusterState, changes: &[JobChange]) {
+        for staged in stage(view, changes, &HashSet::new(), &|t| t == "capped", LIMITS) {
+            self.store.apply(&staged.transaction);
         }
     }
 
-    fn placed(v: &ClusterState, job: &str) -> u32 {
-        v.jobs.get(job).map_or(0, |j| j.placed)
+    fn placed(view: &ClusterState, job: &str) -> u32 {
+        view.jobs.get(job).map_or(0, |j| j.placed)
     }
 }
 
-fn used(v: &ClusterState, team: &str) -> i64 {
-    v.indexes().teams.get(team).map_or(0, |r| r.cpus)
+fn used_cpus(view: &ClusterState, team: &str) -> i64 {
+    view.indexes().teams.get(team).map_or(0, |r| r.cpus)
 }
 
 proptest! {
@@ -180,84 +197,87 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever waits: what the forecast misses room for, with what is in use and what it places, stays
-    /// within the limit; and no more machines are rented than that fills.
+    /// For any queue, the CPUs of the tasks that the forecast cannot place for lack of capacity, together
+    /// with those in use and those that it places, stay within the limit, and no more machines are added than
+    /// these tasks fill.
     #[test]
-    fn no_more_is_rented_than_can_start(
+    fn scale_out_stays_within_quota(
         machines in 0usize..6,
         limit in 20i64..200,
         jobs in proptest::collection::vec((0u8..3, 0u8..2, 1u32..200, 1i64..8, any::<bool>()), 1..12),
     ) {
-        let mut f = TestCluster::new(machines, limit);
-        for (i, (kind, rank, tasks, cpus, capped)) in jobs.iter().enumerate() {
+        let mut cluster = TestCluster::new(machines, limit);
+        for (index, (kind, job_priority, tasks, cpus, capped)) in jobs.iter().enumerate() {
             let kind = [JobKind::Array, JobKind::Gang, JobKind::Service][*kind as usize];
-            let rank = match kind {
+            let job_priority = match kind {
                 JobKind::Service => Priority::Production,
-                _ => [Priority::Normal, Priority::Low][*rank as usize],
+                _ => [Priority::Normal, Priority::Low][*job_priority as usize],
             };
             let tasks = if kind == JobKind::Array { *tasks } else { tasks % 12 + 1 };
-            f.job(&format!("req-{i:06}"), &job(if *capped { "capped" } else { "free" }, kind, rank, tasks, *cpus));
+            cluster.job(&format!("req-{index:06}"), &job(if *capped { "capped" } else { "free" }, kind, job_priority, tasks, *cpus));
         }
-        // Some of it runs already, and each part of it is a start of the rest.
-        let v = f.view();
-        let first = f.plan(&v, None, false).changes;
-        f.carry_out(&v, &first);
-        let v = f.view();
-        prop_assert!(used(&v, "capped") <= limit * CPU);
-        let p = f.plan(&v, None, true);
-        let mut missing = 0;
-        let mut fills = 0.0;
-        for (id, n) in &p.unplaced {
-            let s = &v.jobs[id].spec;
-            let per = Resources::of_machine(&machine_type("cpu", 16.0, 0.0)).count_fitting(&s.resources).max(1);
-            fills += f64::from(*n) / per as f64;
-            if s.team == "capped" {
-                missing += s.resources.cpus * i64::from(*n);
+        // Some tasks already run and use part of the limit.
+        let view = cluster.view();
+        let first = cluster.plan(&view, None, false).changes;
+        cluster.stage_and_apply(&view, &first);
+        let view = cluster.view();
+        prop_assert!(used_cpus(&view, "capped") <= limit * THOUSANDTHS_PER_UNIT);
+        let plan = cluster.plan(&view, None, true);
+        let mut missing_cpus = 0;
+        let mut machines_filled = 0.0;
+        for (id, count) in &plan.unplaced {
+            let spec = &view.jobs[id].spec;
+            let tasks_per_machine = Resources::of_machine(&machine_type("cpu", 16.0, 0.0)).count_fitting(&spec.resources).max(1);
+            machines_filled += f64::from(*count) / tasks_per_machine as f64;
+            if spec.team == "capped" {
+                missing_cpus += spec.resources.cpus * i64::from(*count);
             }
         }
-        // A gang that the limit will let start has the team's arrays make room for it meanwhile.
-        let gangs = p.unplaced.iter().any(|(id, _)| v.jobs[id].spec.kind == JobKind::Gang);
-        prop_assert!(gangs || used(&v, "capped") + missing <= limit * CPU, "{missing}");
-        let d = f.rent(&v, &p);
-        let rented: u32 = d.scale_out.iter().map(|c| c.count).sum();
-        let starved: u32 = p.starved.values().sum();
-        // The room at hand for services is beside it: at most the largest of them.
-        prop_assert!(f64::from(rented) <= fills + f64::from(starved) + 8.0, "{rented} for {fills}");
+        // The team's arrays yield quota to a waiting gang that the limit admits.
+        let gangs = plan.unplaced.iter().any(|(id, _)| view.jobs[id].spec.kind == JobKind::Gang);
+        prop_assert!(gangs || used_cpus(&view, "capped") + missing_cpus <= limit * THOUSANDTHS_PER_UNIT, "{missing_cpus}");
+        let decision = cluster.scaling_decision(&view, &plan);
+        let machines_added: u32 = decision.scale_out.iter().map(|c| c.count).sum();
+        let starved: u32 = plan.starved.values().sum();
+        // The capacity reserve for services comes on top: at most the size of the largest service.
+        prop_assert!(f64::from(machines_added) <= machines_filled + f64::from(starved) + 8.0, "{machines_added} machines added, {machines_filled} needed");
     }
 }
 
-/// A team at its limit with room for one more task: hundreds of machines were rented for the rest of its
-/// backlog each half minute, and returned.
+/// Tasks over a team's limit cause no scale-out. Previously, when the limit had room for one more task,
+/// hundreds of machines were provisioned every 30 seconds for the rest of the backlog, and returned.
 #[test]
-fn a_backlog_behind_a_limit_rents_nothing() {
-    let mut f = TestCluster::new(2, 32);
-    f.job(
+fn a_backlog_over_quota_causes_no_scale_out() {
+    let mut cluster = TestCluster::new(2, 32);
+    cluster.job(
         "req-000001",
         &job("capped", JobKind::Array, Priority::Normal, 31, 1),
     );
-    let v = f.view();
-    let first = f.plan(&v, None, false).changes;
-    f.carry_out(&v, &first);
+    let view = cluster.view();
+    let first = cluster.plan(&view, None, false).changes;
+    cluster.stage_and_apply(&view, &first);
     let backlog = job("capped", JobKind::Array, Priority::Normal, 600, 1);
-    f.job("req-000002", &backlog);
-    f.job("req-000003", &backlog);
-    let v = f.view();
-    let p = f.plan(&v, None, true);
-    assert_eq!(p.unplaced, vec![]);
-    let waits: u32 = p.limited_by_quota.values().sum();
-    assert_eq!(waits, 1199, "one more starts");
+    cluster.job("req-000002", &backlog);
+    cluster.job("req-000003", &backlog);
+    let view = cluster.view();
+    let plan = cluster.plan(&view, None, true);
+    assert_eq!(plan.unplaced, vec![]);
+    let limited: u32 = plan.limited_by_quota.values().sum();
+    assert_eq!(limited, 1199, "the quota admits one more task");
     let id = "req-000003".into();
-    let said = pending_reason(&p, &id, &v.jobs[&id], false, 0);
-    assert_eq!(said, Some((PendingReason::TeamLimit, 600)));
-    let d = f.rent(&v, &p);
-    assert_eq!(d.scale_out, vec![]);
+    let reason = pending_reason(&plan, &id, &view.jobs[&id], false, 0);
+    assert_eq!(reason, Some((PendingReason::TeamLimit, 600)));
+    let decision = cluster.scaling_decision(&view, &plan);
+    assert_eq!(decision.scale_out, vec![]);
 }
 
-/// At the limit each CPU that became free went to a small task, often placed by another controller: a
-/// service, a gang and a class that takes more per task never found enough at once.
+/// Jobs that come first keep quota free for their tasks. Previously, each CPU that became free at the limit
+/// went to a small task, often placed by another controller, so that a service, a gang or a class with larger
+/// tasks never found enough quota at once.
 #[test]
-fn a_limit_keeps_room_for_who_goes_first() {
-    // (what waits, how long it has waited): small tasks leave so many CPUs of the 16 below the limit.
+fn quota_is_reserved_for_jobs_first_in_line() {
+    // Waiting job, seconds since its submission, and how many of the 16 CPUs below the limit the small tasks
+    // must leave free.
     let cases = [
         (
             job("capped", JobKind::Service, Priority::Production, 2, 4),
@@ -267,52 +287,56 @@
         (job("capped", JobKind::Gang, Priority::Normal, 3, 4), 41, 12),
         (job("capped", JobKind::Array, Priority::Low, 4, 16), 400, 16),
     ];
-    for (waits, age, kept) in cases {
-        let mut f = TestCluster::new(12, 64);
-        f.job(
+    for (waiting, age, reserved_cpus) in cases {
+        let mut cluster = TestCluster::new(12, 64);
+        cluster.job(
             "req-000001",
             &job("capped", JobKind::Array, Priority::Normal, 48, 1),
         );
-        let v = f.view();
-        let first = f.plan(&v, None, false).changes;
-        f.carry_out(&v, &first);
-        let waits = JobSpec {
-            submitted_at: f.now - age * SECOND,
+        let view = cluster.view();
+        let first = cluster.plan(&view, None, false).changes;
+        cluster.stage_and_apply(&view, &first);
+        let waiting = JobSpec {
+            submitted_at: cluster.now - age * SECOND,
             image: "other".into(),
-            ..waits
+            ..waiting
         };
-        f.job("req-000002", &waits);
+        cluster.job("req-000002", &waiting);
         let small = JobSpec {
-            submitted_at: f.now,
+            submitted_at: cluster.now,
             ..job("capped", JobKind::Array, Priority::Normal, 100, 1)
         };
-        for n in 3..9 {
-            f.job(&format!("req-{n:06}"), &small);
+        for number in 3..9 {
+            cluster.job(&format!("req-{number:06}"), &small);
         }
-        let v = f.view();
-        // A controller that neither owns the waiting job nor places gangs; it owns some of the others.
-        let other = (1..3).find(|n| shard_of("req-000002") % 3 != *n);
-        let p = f.plan(&v, other, false);
-        let taken: usize = p
+        let view = cluster.view();
+        // A controller that neither owns the waiting job nor places gangs, but owns some of the other jobs.
+        let other = (1..3).find(|number| shard_of("req-000002") % 3 != *number);
+        let plan = cluster.plan(&view, other, false);
+        let started: usize = plan
             .changes
             .iter()
-            .map(|i| match i {
+            .map(|change| match change {
                 JobChange::Place { job, tasks } if &**job != "req-000002" => tasks.len(),
                 _ => 0,
             })
             .sum();
-        assert!(taken > 0 || kept == 16, "{:?}", waits.kind);
-        assert!(taken <= 16 - kept, "{:?}: {taken}", waits.kind);
-        // Its own controller places it.
-        let p = f.plan(&v, None, false);
-        f.carry_out(&v, &p.changes);
-        let v = f.view();
+        assert!(started > 0 || reserved_cpus == 16, "{:?}", waiting.kind);
         assert!(
-            TestCluster::placed(&v, "req-000002") > 0,
-            "{:?} starts",
-            waits.kind
+            started <= 16 - reserved_cpus,
+            "{:?}: {started}",
+            waiting.kind
         );
-        assert!(used(&v, "capped") <= 64 * CPU);
+        // The controller that owns the job places it.
+        let plan = cluster.plan(&view, None, false);
+        cluster.stage_and_apply(&view, &plan.changes);
+        let view = cluster.view();
+        assert!(
+            TestCluster::placed(&view, "req-000002") > 0,
+            "{:?} did not start",
+            waiting.kind
+        );
+        assert!(used_cpus(&view, "capped") <= 64 * THOUSANDTHS_PER_UNIT);
     }
 }
 
@@ -324,99 +348,100 @@
         ..ProptestConfig::default()
     })]
 
-    /// Three controllers place at once, each on a view that is behind, while a team is at its limit and
-    /// machines fail, several in one step. At no revision does the team use more than its limit; the low
-    /// class gets its turns behind an endless normal backlog; the services all run at the end.
+    /// Three controllers place tasks concurrently, each on a stale view, while a team is at its limit and
+    /// machines fail, several in one step. At no revision does the team exceed its limit; jobs of low
+    /// priority start despite an endless backlog of normal priority; all services run at the end.
     #[test]
-    fn machines_fail_while_a_team_is_at_its_limit(
-        fails in proptest::collection::vec((5usize..60, 0usize..18), 2..12),
+    fn quotas_hold_during_machine_failures(
+        failures in proptest::collection::vec((5usize..60, 0usize..18), 2..12),
         seed in any::<u64>(),
     ) {
         let limit = 96;
-        let mut f = TestCluster::new(18, limit);
-        for i in 0..24 {
-            f.job(&format!("req-1{i:05}"), &job("capped", JobKind::Array, Priority::Normal, 80, 1));
+        let mut cluster = TestCluster::new(18, limit);
+        for number in 0..24 {
+            cluster.job(&format!("req-1{number:05}"), &job("capped", JobKind::Array, Priority::Normal, 80, 1));
         }
-        for i in 0..6 {
-            f.job(&format!("req-2{i:05}"), &job("capped", JobKind::Array, Priority::Low, 20, 4));
+        for number in 0..6 {
+            cluster.job(&format!("req-2{number:05}"), &job("capped", JobKind::Array, Priority::Low, 20, 4));
         }
-        for i in 0..5 {
-            f.job(&format!("req-3{i:05}"), &job("free", JobKind::Array, Priority::Normal, 100, 1));
+        for number in 0..5 {
+            cluster.job(&format!("req-3{number:05}"), &job("free", JobKind::Array, Priority::Normal, 100, 1));
         }
         let mut views: Vec<ClusterState> = (0..3).map(|_| ClusterState::default()).collect();
-        let mut truth = ClusterState::default();
-        let mut dead: BTreeMap<MachineId, usize> = BTreeMap::new();
-        let mut low = 0;
+        let mut current = ClusterState::default();
+        let mut failed_machines: BTreeMap<MachineId, usize> = BTreeMap::new();
+        let mut low_starts = 0;
         for step in 0..80 {
-            f.now += SECOND;
+            cluster.now += SECOND;
             if step == 20 {
-                for i in 0..4 {
-                    f.job(&format!("req-4{i:05}"), &job("capped", JobKind::Service, Priority::Production, 3, 2));
+                for number in 0..4 {
+                    cluster.job(&format!("req-4{number:05}"), &job("capped", JobKind::Service, Priority::Production, 3, 2));
                 }
             }
-            for (_, m) in fails.iter().filter(|x| x.0 == step) {
-                dead.entry(format!("m-{m:06}").as_str().into()).or_insert(step);
+            for (_, machine) in failures.iter().filter(|x| x.0 == step) {
+                failed_machines.entry(format!("m-{machine:06}").as_str().into()).or_insert(step);
             }
-            for (n, v) in views.iter_mut().enumerate() {
-                let lag = hash(&format!("{seed}/{step}/{n}")) % 6;
-                f.catch_up(v, f.store.rev.saturating_sub(lag).max(v.revision));
+            for (controller, view) in views.iter_mut().enumerate() {
+                let lag = hash(&format!("{seed}/{step}/{controller}")) % 6;
+                cluster.catch_up(view, cluster.store.rev.saturating_sub(lag).max(view.revision));
             }
-            for n in 0..3u32 {
-                let v = &views[n as usize];
-                let mut intents = Vec::new();
-                for (machine, tasks) in &v.tasks_by_machine {
-                    if shard_of(machine) % 3 != n {
+            for controller in 0..3u32 {
+                let view = &views[controller as usize];
+                let mut changes = Vec::new();
+                for (machine, tasks) in &view.tasks_by_machine {
+                    if shard_of(machine) % 3 != controller {
                         continue;
                     }
-                    // What was on a dead machine has left it once the cloud took it back.
-                    let gone = dead.get(machine).map(|at| step > at + 3);
-                    for ((id, index), p) in tasks {
-                        let service = v.jobs[id].spec.kind == JobKind::Service;
-                        let luck = hash(&format!("{seed}/{step}/{id}/{index}")) % 5;
-                        let done = gone.is_none() && !service && luck == 0;
-                        if done || gone == Some(true) {
-                            let (job, attempt) = (id.clone(), p.attempt);
-                            intents.push(JobChange::AttemptEnded { job, index: *index, attempt, done });
+                    // Tasks on a failed machine have ended once the cloud has reclaimed it.
+                    let removed = failed_machines.get(machine).map(|at| step > at + 3);
+                    for ((id, index), placement) in tasks {
+                        let service = view.jobs[id].spec.kind == JobKind::Service;
+                        let draw = hash(&format!("{seed}/{step}/{id}/{index}")) % 5;
+                        let done = removed.is_none() && !service && draw == 0;
+                        if done || removed == Some(true) {
+                            let (job, attempt) = (id.clone(), placement.attempt);
+                            changes.push(JobChange::AttemptEnded { job, index: *index, attempt, done });
                         }
                     }
                 }
-                intents.extend(f.plan(v, Some(n), false).changes);
-                let list = stage(v, &intents, &HashSet::new(), &|t| t == "capped", LIMITS);
-                for s in list {
-                    f.store.apply(&s.transaction);
-                    f.catch_up(&mut truth, u64::MAX);
-                    prop_assert!(used(&truth, "capped") <= limit * CPU, "{}", used(&truth, "capped"));
+                changes.extend(cluster.plan(view, Some(controller), false).changes);
+                let staged_changes = stage(view, &changes, &HashSet::new(), &|t| t == "capped", LIMITS);
+                for staged in staged_changes {
+                    cluster.store.apply(&staged.transaction);
+                    cluster.catch_up(&mut current, u64::MAX);
+                    prop_assert!(used_cpus(&current, "capped") <= limit * THOUSANDTHS_PER_UNIT, "{}", used_cpus(&current, "capped"));
                 }
             }
-            // Machines that died and have nothing on them are gone.
-            for (machine, at) in &dead {
-                if step > at + 4 && truth.tasks_on(machine).is_none() && truth.machines.contains_key(machine) {
-                    let t = coppergw::wire::state::Transaction {
+            // Failed machines without tasks are removed.
+            for (machine, at) in &failed_machines {
+                if step > at + 4 && current.tasks_on(machine).is_none() && current.machines.contains_key(machine) {
+                    let transaction = coppergw::wire::state::Transaction {
                         preconditions: vec![],
                         mutations: vec![coppergw::wire::state::Mutation::Delete { key: keys::machine(machine) }],
                     };
-                    f.store.apply(&t);
+                    cluster.store.apply(&transaction);
                 }
             }
-            f.catch_up(&mut truth, u64::MAX);
-            low = truth.jobs.iter().filter(|(id, _)| id.starts_with("req-2")).map(|(_, j)| {
-                j.slots().filter(|(_, s)| !matches!(s, TaskState::Waiting(0))).count()
+            cluster.catch_up(&mut current, u64::MAX);
+            low_starts = current.jobs.iter().filter(|(id, _)| id.starts_with("req-2")).map(|(_, job)| {
+                job.slots().filter(|(_, s)| !matches!(s, TaskState::Waiting(0))).count()
             }).sum();
         }
-        prop_assert!(low >= 6, "low work got {low} starts");
-        for i in 0..4 {
-            let id = format!("req-4{i:05}");
-            prop_assert_eq!(TestCluster::placed(&truth, &id), 3, "service {} waits", i);
+        prop_assert!(low_starts >= 6, "only {low_starts} starts of low priority");
+        for number in 0..4 {
+            let id = format!("req-4{number:05}");
+            prop_assert_eq!(TestCluster::placed(&current, &id), 3, "service {} has waiting tasks", number);
         }
-        common::indexed(&truth);
+        common::indexed(&current);
     }
 }
 
-/// The team is at its limit, its job is cancelled, and of its machines some cannot be asked when the owner changes:
-/// what may still run there counts for whoever owns them, whatever was cancelled, and comes back task by task.
+/// A team is at its limit, its job is cancelled, and some of the machines cannot be reached when the owner of
+/// their shards changes. Tasks that may still run there count towards the limit for every later owner,
+/// although they were cancelled, and their quota is released task by task.
 #[test]
-fn what_was_cancelled_counts_until_it_has_left() {
-    let mut f = TestCluster::new(3, 4);
+fn cancelled_tasks_count_until_they_end() {
+    let mut cluster = TestCluster::new(3, 4);
     let placed = |machine: &str| {
         TaskState::Placed(coppergw::jobs::model::Placement {
             attempt: 1,
@@ -425,59 +450,60 @@
             stop: None,
         })
     };
-    let old = JobSpec {
+    let cancelled_job = JobSpec {
         cancelled: true,
         submitted_at: 1,
         ..job("capped", JobKind::Array, Priority::Normal, 4, 1)
     };
     let slots = ["m-000000", "m-000000", "m-000001", "m-000002"].map(placed);
-    let record = JobRecord(old, TaskBlock(slots.to_vec()));
-    f.store.put(keys::job("req-000001"), &record);
-    f.job(
+    let record = JobRecord(cancelled_job, TaskBlock(slots.to_vec()));
+    cluster.store.put(keys::job("req-000001"), &record);
+    cluster.job(
         "req-000002",
         &job("capped", JobKind::Array, Priority::Normal, 9, 1),
     );
-    for left in 0..=4u32 {
-        // Every part has a new owner, with a higher term.
-        for n in 0..SHARD_COUNT {
-            let owner = format!("n{}", (n + left) % 3);
-            let p = Shard {
+    for ended_tasks in 0..=4u32 {
+        // Every shard has a new owner, with a higher term.
+        for index in 0..SHARD_COUNT {
+            let owner = format!("n{}", (index + ended_tasks) % 3);
+            let shard = Shard {
                 owner,
                 lease: 2,
-                term: 2 + u64::from(left),
+                term: 2 + u64::from(ended_tasks),
             };
-            f.store.put(keys::shard(n), &p);
+            cluster.store.put(keys::shard(index), &shard);
         }
-        let v = f.view();
-        let p = f.plan(&v, None, false);
-        f.carry_out(&v, &p.changes);
-        let v = f.view();
+        let view = cluster.view();
+        let plan = cluster.plan(&view, None, false);
+        cluster.stage_and_apply(&view, &plan.changes);
+        let view = cluster.view();
         assert_eq!(
-            TestCluster::placed(&v, "req-000002"),
-            left,
-            "no more, and none is lost for good"
+            TestCluster::placed(&view, "req-000002"),
+            ended_tasks,
+            "as many tasks start as have ended"
         );
-        assert!(used(&v, "capped") <= 4 * CPU);
-        let gone = JobChange::AttemptEnded {
+        assert!(used_cpus(&view, "capped") <= 4 * THOUSANDTHS_PER_UNIT);
+        let ended = JobChange::AttemptEnded {
             job: "req-000001".into(),
-            index: left,
+            index: ended_tasks,
             attempt: 1,
             done: false,
         };
-        f.carry_out(&v, &[gone]);
+        cluster.stage_and_apply(&view, &[ended]);
     }
 }
 
-/// With more room free than gangs need, machines in use close so that what is free goes first. Each look
-/// closed as many again: all that were in use closed, and others were rented for the next gang.
+/// With more free capacity than gangs need, machines in use are cordoned so that the free ones are used
+/// first. Previously, each decision cordoned as many again, until all machines in use were cordoned and
+/// others were provisioned for the next gang.
 #[test]
-fn no_more_machines_with_gangs_close_than_stand_free() {
-    let mut f = TestCluster::new(0, 0);
+fn cordoned_gang_machines_are_bounded_by_free_ones() {
+    let mut cluster = TestCluster::new(0, 0);
     let types = vec![
         machine_type("cpu", 16.0, 0.0),
         machine_type("gpu", 24.0, 2.0),
     ];
-    f.store.put(keys::TYPES.into(), &types);
+    cluster.store.put(keys::TYPES.into(), &types);
     let machine = |state| MachineRecord {
         machine_type: "gpu".into(),
         zone: "a".into(),
@@ -487,58 +513,59 @@
         state,
         rented_at: 0,
     };
-    for i in 0..40 {
-        f.store.put(
-            keys::machine(&format!("m-{i:06}")),
+    for index in 0..40 {
+        cluster.store.put(
+            keys::machine(&format!("m-{index:06}")),
             &machine(MachineState::Up),
         );
     }
     let gang = job("free", JobKind::Gang, Priority::Normal, 36, 21);
-    let room = Resources {
-        gpus: 2 * CPU,
+    let gang_resources = Resources {
+        gpus: 2 * THOUSANDTHS_PER_UNIT,
         ..gang.resources
     };
-    f.job(
+    cluster.job(
         "req-000001",
         &JobSpec {
-            resources: room,
+            resources: gang_resources,
             ..gang
         },
     );
-    let v = f.view();
-    let first = f.plan(&v, None, false).changes;
-    f.carry_out(&v, &first);
-    let mut closed = 0;
+    let view = cluster.view();
+    let first = cluster.plan(&view, None, false).changes;
+    cluster.stage_and_apply(&view, &first);
+    let mut cordoned = 0;
     for _ in 0..5 {
-        let v = f.view();
-        assert_eq!(TestCluster::placed(&v, "req-000001"), 36);
-        let d = f.rent(&v, &f.plan(&v, None, true));
-        for id in d.cordon {
-            closed += 1;
-            f.store
+        let view = cluster.view();
+        assert_eq!(TestCluster::placed(&view, "req-000001"), 36);
+        let decision = cluster.scaling_decision(&view, &cluster.plan(&view, None, true));
+        for id in decision.cordon {
+            cordoned += 1;
+            cluster
+                .store
                 .put(keys::machine(&id), &machine(MachineState::Closing));
         }
     }
-    assert!(closed <= 4, "{closed} closed, 4 stood free");
+    assert!(cordoned <= 4, "{cordoned} machines cordoned, 4 are free");
 }
 
-/// A controller that missed a part of the log reads everything again. Another leader may have added up the
-/// jobs that ended in that gap: they are not added once more.
+/// A controller that missed part of the log reloads everything. Another leader may have counted the jobs that
+/// ended in that gap: they are not counted again.
 #[test]
-fn an_end_in_a_gap_counts_from_where_the_gap_begins() {
-    let mut f = TestCluster::new(0, 0);
-    f.job(
+fn job_ends_in_a_watch_gap_count_once() {
+    let mut cluster = TestCluster::new(0, 0);
+    cluster.job(
         "req-000001",
         &job("free", JobKind::Array, Priority::Low, 1, 1),
     );
-    let mut v = f.view();
-    v.retain_prefix("c/job/", &HashSet::new(), v.revision + 20);
-    let ends: Vec<u64> = v.recent_job_ends().map(|e| e.revision).collect();
-    assert_eq!(ends, vec![v.revision + 1]);
-    let other = ServiceLevels {
-        revision: v.revision + 8,
+    let mut view = cluster.view();
+    view.retain_prefix("c/job/", &HashSet::new(), view.revision + 20);
+    let ends: Vec<u64> = view.recent_job_ends().map(|e| e.revision).collect();
+    assert_eq!(ends, vec![view.revision + 1]);
+    let other_leader = ServiceLevels {
+        revision: view.revision + 8,
         ..ServiceLevels::default()
     };
-    let next = other.with(v.recent_job_ends().cloned(), v.revision + 20, 1000);
+    let next = other_leader.with(view.recent_job_ends().cloned(), view.revision + 20, 1000);
     assert!(next.ended.is_empty());
 }
