--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Scheduling on generated clusters: every schedule keeps the rules of the platform.
+//! Scheduling on generated clusters: every schedule satisfies the constraints of the platform.
 
 mod common;
 
@@ -23,7 +23,8 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-const CAP: i64 = 6000;
+/// Limit of the team `capped`.
+const TEAM_LIMIT_MILLICPUS: i64 = 6000;
 
 fn types() -> Vec<MachineType> {
     [("big", 8.0, 2.0), ("small", 4.0, 0.0)]
@@ -52,25 +53,27 @@
     };
     vec![
         team("free", 0, 0),
-        team("capped", 0, CAP),
+        team("capped", 0, TEAM_LIMIT_MILLICPUS),
         team("owed", 4000, 0),
     ]
 }
 
 fn machine() -> impl Strategy<Value = MachineRecord> {
-    (0usize..2, 0usize..3, any::<bool>(), 0u8..8).prop_map(|(kind, zone, spot, st)| MachineRecord {
-        machine_type: ["big", "small"][kind].into(),
-        zone: ["a", "b", "c"][zone].into(),
-        spot,
-        address: None,
-        session: 1,
-        state: match st {
-            0 => MachineState::Draining,
-            1 => MachineState::Booting,
-            2 => MachineState::Closing,
-            _ => MachineState::Up,
-        },
-        rented_at: 0,
+    (0usize..2, 0usize..3, any::<bool>(), 0u8..8).prop_map(|(kind, zone, spot, state)| {
+        MachineRecord {
+            machine_type: ["big", "small"][kind].into(),
+            zone: ["a", "b", "c"][zone].into(),
+            spot,
+            address: None,
+            session: 1,
+            state: match state {
+                0 => MachineState::Draining,
+                1 => MachineState::Booting,
+                2 => MachineState::Closing,
+                _ => MachineState::Up,
+            },
+            rented_at: 0,
+        }
     })
 }
 
@@ -81,7 +84,11 @@
         (0usize..3, 0u8..4, 0u8..4, 0u64..100),
     )
         .prop_map(
-            |((kind, rank, tasks, cpus, gpus), (one, spread, spot), (team, ty, zone, at))| {
+            |(
+                (kind, job_priority, tasks, cpus, gpus),
+                (single, spread, spot),
+                (team, type_choice, zone, submitted_s),
+            )| {
                 JobSpec {
                     class: "c".into(),
                     team: ["free", "capped", "owed"][team].into(),
@@ -91,29 +98,29 @@
                         Priority::High,
                         Priority::Normal,
                         Priority::Low,
-                    ][rank],
+                    ][job_priority],
                     task_count: tasks,
                     resources: Resources {
                         cpus: cpus * 1000,
                         gpus: if gpus == 2 { 1000 } else { 0 },
                         memory: 3000,
                     },
-                    image: format!("i{at}"),
+                    image: format!("i{submitted_s}"),
                     image_size: 1,
-                    machine_types: match ty {
+                    machine_types: match type_choice {
                         0 => Some(vec!["small".into()]),
                         1 => Some(vec!["big".into()]),
                         _ => None,
                     },
                     zone: (zone == 0).then(|| "b".into()),
-                    single_zone: one && !spread,
+                    single_zone: single && !spread,
                     zone_spread: spread,
                     allow_spot: spot,
                     estimated_run_time: 10 * SECOND,
                     checkpoint_interval: 0,
                     checkpoint_save_time: 0,
                     deadline: None,
-                    submitted_at: at * SECOND,
+                    submitted_at: submitted_s * SECOND,
                     cancelled: false,
                     dependencies: Default::default(),
                 }
@@ -125,20 +132,20 @@
     to_value(&JobRecord(s.clone(), TaskBlock::default()))
 }
 
-fn schedule_changes(v: &ClusterState) -> Vec<JobChange> {
-    schedule_with_limit(v, None)
+fn schedule_changes(view: &ClusterState) -> Vec<JobChange> {
+    schedule_limited(view, None)
 }
 
-fn schedule_with_limit(v: &ClusterState, writes: Option<Writes<'_>>) -> Vec<JobChange> {
+fn schedule_limited(cluster_state: &ClusterState, writes: Option<Writes<'_>>) -> Vec<JobChange> {
     let teams = teams();
     schedule(&SchedulingInput {
-        view: v,
+        view: cluster_state,
         wall_clock: 500 * SECOND,
         teams: &teams,
         objectives: &[],
-        schedulable: &|_, h| {
-            (h.state == MachineState::Up).then_some(SchedulableMachine {
-                session: h.session,
+        schedulable: &|_, machine| {
+            (machine.state == MachineState::Up).then_some(SchedulableMachine {
+                session: machine.session,
                 owned: true,
             })
         },
@@ -155,43 +162,57 @@
     .changes
 }
 
-fn check(v: &ClusterState) -> Result<(), TestCaseError> {
-    let types = &v.machine_types;
+fn check(view: &ClusterState) -> Result<(), TestCaseError> {
+    let types = &view.machine_types;
     let mut used = 0;
-    for (id, j) in &v.jobs {
-        let s = &j.spec;
+    for (id, job) in &view.jobs {
+        let spec = &job.spec;
         let mut zones: HashMap<&str, u32> = HashMap::new();
         let mut attempts = HashSet::new();
-        for (_, p) in j.placements() {
-            let h = &v.machines[&p.machine];
-            prop_assert!(machine_allowed(s, h), "wrong_place: {id} on {}", p.machine);
-            prop_assert!(h.state == MachineState::Up, "placed on {:?}", h.state);
-            *zones.entry(&h.zone).or_default() += 1;
-            attempts.insert(p.attempt);
-            if s.team == "capped" {
-                used += s.resources.cpus;
+        for (_, placement) in job.placements() {
+            let machine = &view.machines[&placement.machine];
+            prop_assert!(
+                machine_allowed(spec, machine),
+                "wrong_place: {id} on {}",
+                placement.machine
+            );
+            prop_assert!(
+                machine.state == MachineState::Up,
+                "placed on {:?}",
+                machine.state
+            );
+            *zones.entry(&machine.zone).or_default() += 1;
+            attempts.insert(placement.attempt);
+            if spec.team == "capped" {
+                used += spec.resources.cpus;
             }
         }
-        prop_assert!(!s.single_zone || zones.len() <= 1, "{id} in two zones");
-        let most = zones.values().copied().max().unwrap_or(0);
         prop_assert!(
-            !s.zone_spread || most <= s.task_count.div_ceil(2),
-            "{id} not spread"
+            !spec.single_zone || zones.len() <= 1,
+            "{id} is in two zones"
+        );
+        let max_in_zone = zones.values().copied().max().unwrap_or(0);
+        prop_assert!(
+            !spec.zone_spread || max_in_zone <= spec.task_count.div_ceil(2),
+            "{id} is not spread"
         );
-        if s.kind == JobKind::Gang {
-            prop_assert!(j.placed == 0 || j.placed == s.task_count, "half a gang");
-            prop_assert!(attempts.len() <= 1, "a gang with two attempts");
+        if spec.kind == JobKind::Gang {
+            prop_assert!(
+                job.placed == 0 || job.placed == spec.task_count,
+                "a gang is partly placed"
+            );
+            prop_assert!(attempts.len() <= 1, "a gang has two attempts");
         }
     }
-    prop_assert!(used <= CAP, "quota");
-    for (id, h) in &v.machines {
-        let mut free = Resources::of_machine(&types[&h.machine_type]);
-        for (job, _) in v.tasks_on(id).into_iter().flat_map(|t| t.keys()) {
-            free.subtract(&v.jobs[job].spec.resources);
+    prop_assert!(used <= TEAM_LIMIT_MILLICPUS, "quota");
+    for (id, machine) in &view.machines {
+        let mut free = Resources::of_machine(&types[&machine.machine_type]);
+        for (job, _) in view.tasks_on(id).into_iter().flat_map(|t| t.keys()) {
+            free.subtract(&view.jobs[job].spec.resources);
         }
         prop_assert!(
             free.fits(&Resources::default()),
-            "no room left on {id}: {free:?}"
+            "machine {id} is overcommitted: {free:?}"
         );
     }
     Ok(())
@@ -206,61 +227,61 @@
     })]
 
     #[test]
-    fn plans_keep_the_rules(
+    fn schedules_keep_the_constraints(
         machines in proptest::collection::vec(machine(), 1..12),
         specs in proptest::collection::vec(spec(), 1..14),
     ) {
-        let mut v = ClusterState::default();
-        let mut rev = 1;
-        let mut put = |v: &mut ClusterState, k: &str, x: &ciborium::Value| {
-            rev += 1;
-            v.put(k, x, rev);
+        let mut view = ClusterState::default();
+        let mut revision = 1;
+        let mut put = |view: &mut ClusterState, key: &str, value: &ciborium::Value| {
+            revision += 1;
+            view.put(key, value, revision);
         };
-        put(&mut v, keys::TYPES, &to_value(&types()));
-        for n in 0..SHARD_COUNT {
-            let p = Shard { owner: "n".into(), lease: 1, term: 1 };
-            put(&mut v, &keys::shard(n), &to_value(&p));
+        put(&mut view, keys::TYPES, &to_value(&types()));
+        for index in 0..SHARD_COUNT {
+            let shard = Shard { owner: "n".into(), lease: 1, term: 1 };
+            put(&mut view, &keys::shard(index), &to_value(&shard));
         }
-        for (i, h) in machines.iter().enumerate() {
-            put(&mut v, &keys::machine(&format!("m-{i:06}")), &to_value(h));
+        for (index, machine) in machines.iter().enumerate() {
+            put(&mut view, &keys::machine(&format!("m-{index:06}")), &to_value(machine));
         }
-        for (i, s) in specs.iter().enumerate() {
-            put(&mut v, &keys::job(&format!("req-{i}")), &record(s));
+        for (index, spec) in specs.iter().enumerate() {
+            put(&mut view, &keys::job(&format!("req-{index}")), &record(spec));
         }
         let limits = TransactionLimits { max_mutations: 16, max_merged_mutations: 16, max_bytes: 48_000 , max_value_bytes: 32_000, newer_layout: false, packed: false, wall_clock: 0};
         for _ in 0..4 {
-            let intents = schedule_changes(&v);
-            let staged = stage(&v, &intents, &HashSet::new(), &|t| t == "capped", limits);
-            for s in staged {
-                prop_assert!(s.transaction.mutations.len() <= 16 && s.transaction.preconditions.len() <= 64);
-                // As the state service: all conditions or nothing.
-                if s.transaction.preconditions.iter().any(|g| v.version(&g.key) != g.version) {
+            let changes = schedule_changes(&view);
+            let staged_transactions = stage(&view, &changes, &HashSet::new(), &|t| t == "capped", limits);
+            for staged in staged_transactions {
+                prop_assert!(staged.transaction.mutations.len() <= 16 && staged.transaction.preconditions.len() <= 64);
+                // As in the state service, a transaction is applied only if all its preconditions hold.
+                if staged.transaction.preconditions.iter().any(|g| view.version(&g.key) != g.version) {
                     continue;
                 }
-                rev += 1;
-                for c in &s.transaction.mutations {
-                    match c {
-                        Mutation::Put { key: put, value: x, .. } => v.put(put, x, rev),
-                        Mutation::Delete { key: remove } => v.delete(remove, rev),
+                revision += 1;
+                for mutation in &staged.transaction.mutations {
+                    match mutation {
+                        Mutation::Put { key: written_key, value: new_value, .. } => view.put(written_key, new_value, revision),
+                        Mutation::Delete { key: deleted_key } => view.delete(deleted_key, revision),
                     }
                 }
             }
-            check(&v)?;
+            check(&view)?;
         }
     }
 }
 
-/// A service waits, lower work holds the machine: it makes way, equal work does not.
+/// A waiting service preempts a task of lower priority that occupies the machine, but none of equal priority.
 #[test]
-fn lower_work_makes_way_for_services() {
-    let build = |rank| {
-        let mut v = ClusterState::default();
-        v.put(keys::TYPES, &to_value(&types()), 1);
-        let h = common::up("small");
-        v.put(&keys::machine("m-1"), &to_value(&h), 2);
-        let base = JobSpec {
+fn services_preempt_lower_priorities() {
+    let changes_for_service = |job_priority| {
+        let mut view = ClusterState::default();
+        view.put(keys::TYPES, &to_value(&types()), 1);
+        let machine = common::up("small");
+        view.put(&keys::machine("m-1"), &to_value(&machine), 2);
+        let running_job = JobSpec {
             team: "free".into(),
-            priority: rank,
+            priority: job_priority,
             resources: Resources {
                 cpus: 4000,
                 gpus: 0,
@@ -268,49 +289,51 @@
             },
             ..common::spec(JobKind::Array, 1)
         };
-        v.put(&keys::job("req-1"), &record(&base), 3);
-        let intents = schedule_changes(&v);
-        let staged = stage(&v, &intents, &HashSet::new(), &|_| false, LIMITS);
-        for c in &staged[0].transaction.mutations {
+        view.put(&keys::job("req-1"), &record(&running_job), 3);
+        let changes = schedule_changes(&view);
+        let staged = stage(&view, &changes, &HashSet::new(), &|_| false, LIMITS);
+        for mutation in &staged[0].transaction.mutations {
             if let Mutation::Put {
-                key: put, value: x, ..
-            } = c
+                key: written_key,
+                value: new_value,
+                ..
+            } = mutation
             {
-                v.put(put, x, 4);
+                view.put(written_key, new_value, 4);
             }
         }
         let service = JobSpec {
             kind: JobKind::Service,
             priority: Priority::Production,
             submitted_at: 2,
-            ..base
+            ..running_job
         };
-        v.put(&keys::job("req-2"), &record(&service), 5);
-        schedule_changes(&v)
+        view.put(&keys::job("req-2"), &record(&service), 5);
+        schedule_changes(&view)
     };
-    let stops = build(Priority::Low);
+    let stops = changes_for_service(Priority::Low);
     assert!(
         matches!(stops.as_slice(), [JobChange::Stop { job, .. }] if &**job == "req-1"),
         "{stops:?}"
     );
-    assert_eq!(build(Priority::Production), vec![]);
+    assert_eq!(changes_for_service(Priority::Production), vec![]);
 }
 
-/// A gang on a machine that is about to be taken is stopped as a whole, each task with time to save;
-/// a gang that lost a task is stopped at once; and a gang completes together.
+/// A gang with a task on a draining machine is stopped as a whole, each task with time to save; a gang that
+/// lost a task is stopped immediately; and all tasks of a gang complete together.
 #[expect(
     clippy::too_many_lines,
-    reason = "one history of a gang, not split into steps yet"
+    reason = "one sequence of events of a gang, not split into steps yet"
 )]
 #[test]
 fn gangs_stop_and_complete_together() {
-    let mut v = ClusterState::default();
-    let mut rev = 0;
-    let mut put = |v: &mut ClusterState, k: String, x: ciborium::Value| {
-        rev += 1;
-        v.put(&k, &x, rev);
+    let mut view = ClusterState::default();
+    let mut revision = 0;
+    let mut put = |view: &mut ClusterState, key: String, value: ciborium::Value| {
+        revision += 1;
+        view.put(&key, &value, revision);
     };
-    put(&mut v, keys::TYPES.into(), to_value(&types()));
+    put(&mut view, keys::TYPES.into(), to_value(&types()));
     let machine = |state| MachineRecord {
         machine_type: "small".into(),
         zone: "a".into(),
@@ -322,7 +345,7 @@
     };
     for id in ["m-1", "m-2"] {
         put(
-            &mut v,
+            &mut view,
             keys::machine(id),
             to_value(&machine(MachineState::Up)),
         );
@@ -339,29 +362,35 @@
         checkpoint_save_time: 2 * SECOND,
         ..common::spec(JobKind::Gang, 2)
     };
-    put(&mut v, keys::job("req-1"), record(&spec));
-    let changes = |v: &ClusterState, intents: &[JobChange]| {
-        let staged = stage(v, intents, &HashSet::new(), &|_| false, LIMITS);
+    put(&mut view, keys::job("req-1"), record(&spec));
+    let changes = |view: &ClusterState, job_changes: &[JobChange]| {
+        let staged = stage(view, job_changes, &HashSet::new(), &|_| false, LIMITS);
         staged
             .into_iter()
             .flat_map(|s| s.transaction.mutations)
             .collect::<Vec<_>>()
     };
-    let placed = changes(&v, &schedule_changes(&v));
-    for c in placed {
+    let placed = changes(&view, &schedule_changes(&view));
+    for mutation in placed {
         if let Mutation::Put {
-            key: k, value: x, ..
-        } = c
+            key: written_key,
+            value: new_value,
+            ..
+        } = mutation
         {
-            put(&mut v, k, x);
+            put(&mut view, written_key, new_value);
         }
     }
-    assert_eq!(v.jobs["req-1"].placed, 2);
-    assert_eq!(schedule_changes(&v), vec![], "nothing to do while it runs");
+    assert_eq!(view.jobs["req-1"].placed, 2);
+    assert_eq!(
+        schedule_changes(&view),
+        vec![],
+        "a running gang needs no changes"
+    );
 
     let job: coppergw::jobs::model::JobId = "req-1".into();
     let done = changes(
-        &v,
+        &view,
         &[JobChange::AttemptEnded {
             job: job.clone(),
             index: 0,
@@ -369,17 +398,20 @@
             done: true,
         }],
     );
-    let ends = |c: &Mutation| matches!(c, Mutation::Put { key: put, .. } if *put == keys::finished_job("req-1"));
-    assert!(done.iter().any(ends), "one done, all done: {done:?}");
+    let is_finished_job = |mutation: &Mutation| matches!(mutation, Mutation::Put { key: written_key, .. } if *written_key == keys::finished_job("req-1"));
+    assert!(
+        done.iter().any(is_finished_job),
+        "one finished task finishes the gang: {done:?}"
+    );
 
     put(
-        &mut v,
+        &mut view,
         keys::machine("m-2"),
         to_value(&machine(MachineState::Draining)),
     );
-    let graces: Vec<_> = schedule_changes(&v)
+    let graces: Vec<_> = schedule_changes(&view)
         .into_iter()
-        .map(|i| match i {
+        .map(|change| match change {
             JobChange::Stop { index, grace, .. } => (index, grace),
             other => panic!("{other:?}"),
         })
@@ -393,12 +425,12 @@
     );
 
     put(
-        &mut v,
+        &mut view,
         keys::machine("m-2"),
         to_value(&machine(MachineState::Up)),
     );
     let lost = changes(
-        &v,
+        &view,
         &[JobChange::AttemptEnded {
             job,
             index: 1,
@@ -406,15 +438,17 @@
             done: false,
         }],
     );
-    for c in lost {
+    for mutation in lost {
         if let Mutation::Put {
-            key: k, value: x, ..
-        } = c
+            key: written_key,
+            value: new_value,
+            ..
+        } = mutation
         {
-            put(&mut v, k, x);
+            put(&mut view, written_key, new_value);
         }
     }
-    let stops = schedule_changes(&v);
+    let stops = schedule_changes(&view);
     assert!(
         matches!(
             stops.as_slice(),
@@ -424,31 +458,35 @@
                 ..
             }]
         ),
-        "no half gang, and no new attempt before the old one left: {stops:?}"
+        "the rest of the gang stops, and no new attempt starts before the old one has ended: {stops:?}"
     );
 }
 
-/// A plan for so many jobs begins as the whole plan does; jobs with a transaction under way are planned
-/// for, so that nobody takes their room, and do not count. Arrays, which are written last, never use up
-/// what services could have.
+/// A schedule limited to a number of jobs equals the beginning of the full schedule. Jobs with a transaction
+/// in flight are scheduled, so that their capacity stays reserved, and do not count towards the number.
+/// Arrays, which are written last, never use up the share of services.
 #[test]
-fn a_plan_for_few_writes_is_the_beginning_of_the_whole() {
-    let mut v = ClusterState::default();
-    v.put(keys::TYPES, &to_value(&types()), 1);
-    for k in 0..20 {
-        let h = common::up("small");
-        v.put(&keys::machine(&format!("m-{k:02}")), &to_value(&h), 2 + k);
+fn a_write_limited_schedule_is_a_prefix() {
+    let mut view = ClusterState::default();
+    view.put(keys::TYPES, &to_value(&types()), 1);
+    for index in 0..20 {
+        let machine = common::up("small");
+        view.put(
+            &keys::machine(&format!("m-{index:02}")),
+            &to_value(&machine),
+            2 + index,
+        );
     }
-    for k in 0..20u64 {
-        let kind = if k < 10 {
+    for index in 0..20u64 {
+        let kind = if index < 10 {
             JobKind::Service
         } else {
             JobKind::Array
         };
-        let s = JobSpec {
-            submitted_at: k * SECOND,
-            // Arrays before services in the queue.
-            priority: if k < 10 {
+        let spec = JobSpec {
+            submitted_at: index * SECOND,
+            // Arrays come before services in the queue.
+            priority: if index < 10 {
                 Priority::Low
             } else {
                 Priority::Normal
@@ -456,117 +494,127 @@
             team: "free".into(),
             ..common::spec(kind, 1)
         };
-        v.put(&keys::job(&format!("req-{k:02}")), &record(&s), 50 + k);
+        view.put(
+            &keys::job(&format!("req-{index:02}")),
+            &record(&spec),
+            50 + index,
+        );
     }
     let placed = |list: &[JobChange], kind: JobKind| -> Vec<JobId> {
         let jobs = list.iter().map(|i| i.job());
-        let of = jobs.filter(|j| v.jobs[*j].spec.kind == kind);
-        of.cloned().collect()
+        let matching = jobs.filter(|j| view.jobs[*j].spec.kind == kind);
+        matching.cloned().collect()
     };
-    let whole = schedule_changes(&v);
-    let services = placed(&whole, JobKind::Service);
-    let arrays = placed(&whole, JobKind::Array);
+    let full = schedule_changes(&view);
+    let services = placed(&full, JobKind::Service);
+    let arrays = placed(&full, JobKind::Array);
     assert_eq!((services.len(), arrays.len()), (10, 10));
-    let few =
-        |jobs, busy: &dyn Fn(&JobId) -> bool| schedule_with_limit(&v, Some(Writes { jobs, busy }));
-    let some = few(3, &|_| false);
-    assert_eq!(placed(&some, JobKind::Array), arrays[..3]);
-    assert_eq!(placed(&some, JobKind::Service), services[..3]);
+    let schedule_few =
+        |jobs, busy: &dyn Fn(&JobId) -> bool| schedule_limited(&view, Some(Writes { jobs, busy }));
+    let limited = schedule_few(3, &|_| false);
+    assert_eq!(placed(&limited, JobKind::Array), arrays[..3]);
+    assert_eq!(placed(&limited, JobKind::Service), services[..3]);
     let first = services[0].clone();
-    let more = few(3, &|j| *j == first);
-    assert_eq!(placed(&more, JobKind::Service), services[..4]);
+    let limited_with_busy = schedule_few(3, &|j| *j == first);
+    assert_eq!(placed(&limited_with_busy, JobKind::Service), services[..4]);
 }
 
-/// A view of one machine with 4 CPUs, and jobs with so many tasks that were submitted so long ago.
-fn waiting(kind: JobKind, jobs: &[(u32, u64)]) -> ClusterState {
-    let mut v = ClusterState::default();
-    v.put(keys::TYPES, &to_value(&types()), 1);
+/// Returns a view of one machine with 4 CPUs, and of jobs given by their number of tasks and the seconds
+/// since their submission.
+fn waiting_jobs(kind: JobKind, jobs: &[(u32, u64)]) -> ClusterState {
+    let mut view = ClusterState::default();
+    view.put(keys::TYPES, &to_value(&types()), 1);
     let shard = Shard {
         owner: "n".into(),
         lease: 1,
         term: 1,
     };
-    (0..SHARD_COUNT).for_each(|n| v.put(&keys::shard(n), &to_value(&shard), 2));
-    v.put(
+    (0..SHARD_COUNT).for_each(|n| view.put(&keys::shard(n), &to_value(&shard), 2));
+    view.put(
         &keys::machine("m-000000"),
         &to_value(&common::up("small")),
         3,
     );
-    for (k, (tasks, age)) in jobs.iter().enumerate() {
-        let s = JobSpec {
+    for (index, (tasks, age)) in jobs.iter().enumerate() {
+        let spec = JobSpec {
             submitted_at: (500 - age) * SECOND,
             team: "free".into(),
             ..common::spec(kind, *tasks)
         };
-        v.put(&keys::job(&format!("req-{k}")), &record(&s), 4);
+        view.put(&keys::job(&format!("req-{index}")), &record(&spec), 4);
     }
-    v
+    view
 }
 
-/// What each job gets, in the order of the plan.
-fn given(v: &ClusterState) -> Vec<(String, usize)> {
-    let list = schedule_changes(v).into_iter();
-    list.filter_map(|i| match i {
+/// Returns the number of tasks that are placed for each job, in the order of the schedule.
+fn placements(view: &ClusterState) -> Vec<(String, usize)> {
+    let list = schedule_changes(view).into_iter();
+    list.filter_map(|change| match change {
         JobChange::Place { job, tasks } => Some((job.to_string(), tasks.len())),
         _ => None,
     })
     .collect()
 }
 
-/// The job with the least work goes first, and so the largest of a class never, while smaller ones come. After a
-/// while one task of it does, and no more: the others still go by their work.
+/// Within a class, the job with the least work comes first, so the largest would never start while smaller
+/// ones arrive. After some time, one of its tasks is placed, and no more: the other jobs are still ordered by
+/// their work.
 #[test]
-fn the_largest_begins_although_smaller_ones_come() {
+fn the_largest_job_is_not_starved() {
     let small = [(3, 100), (2, 90), (4, 80)];
-    let with = |large| {
+    let place_with = |large| {
         let mut jobs = vec![large];
         jobs.extend(small);
-        given(&waiting(JobKind::Array, &jobs))
+        placements(&waiting_jobs(JobKind::Array, &jobs))
     };
     let job = |k: u32, n| (format!("req-{k}"), n);
-    assert_eq!(with((300, 110)), [job(2, 2), job(1, 2)]);
-    assert_eq!(with((300, 130)), [job(0, 1), job(2, 2), job(1, 1)]);
-    // Several of them: the oldest first.
-    let two = waiting(JobKind::Array, &[(300, 130), (300, 140), (1, 10)]);
-    assert_eq!(given(&two)[..2], [job(1, 1), job(0, 1)]);
-    // One that has begun waits for its turn.
-    let mut v = waiting(JobKind::Array, &[(300, 130), (4, 80)]);
-    let mut b = TaskBlock(vec![coppergw::jobs::model::TaskState::Waiting(0); 256]);
-    b.0[0] = coppergw::jobs::model::TaskState::Waiting(1);
-    let s = v.jobs["req-0"].spec.as_ref().clone();
-    v.put(&keys::job("req-0"), &to_value(&JobRecord(s, b)), 9);
-    assert_eq!(given(&v), [job(1, 4)]);
+    assert_eq!(place_with((300, 110)), [job(2, 2), job(1, 2)]);
+    assert_eq!(place_with((300, 130)), [job(0, 1), job(2, 2), job(1, 1)]);
+    // Of several large jobs, the oldest comes first.
+    let view_with_two_large = waiting_jobs(JobKind::Array, &[(300, 130), (300, 140), (1, 10)]);
+    assert_eq!(
+        placements(&view_with_two_large)[..2],
+        [job(1, 1), job(0, 1)]
+    );
+    // A large job that has started is placed in the regular order.
+    let mut view = waiting_jobs(JobKind::Array, &[(300, 130), (4, 80)]);
+    let mut block = TaskBlock(vec![coppergw::jobs::model::TaskState::Waiting(0); 256]);
+    block.0[0] = coppergw::jobs::model::TaskState::Waiting(1);
+    let spec = view.jobs["req-0"].spec.as_ref().clone();
+    view.put(&keys::job("req-0"), &to_value(&JobRecord(spec, block)), 9);
+    assert_eq!(placements(&view), [job(1, 4)]);
 }
 
-/// Gangs go by their work, however long one has waited: behind the oldest, for which there is no room, all would wait.
+/// Gangs are ordered by their work, however long one has waited: behind the oldest, for which there is no
+/// capacity, all would wait.
 #[test]
-fn a_large_gang_keeps_no_small_one_waiting() {
-    let with = |age| given(&waiting(JobKind::Gang, &[(4, age), (2, 30), (1, 20)]));
+fn a_large_gang_does_not_block_small_gangs() {
+    let place_with = |age| placements(&waiting_jobs(JobKind::Gang, &[(4, age), (2, 30), (1, 20)]));
     let job = |k: u32, n| (format!("req-{k}"), n);
-    assert_eq!(with(40), [job(2, 1), job(1, 2)]);
-    assert_eq!(with(130), [job(2, 1), job(1, 2)]);
+    assert_eq!(place_with(40), [job(2, 1), job(1, 2)]);
+    assert_eq!(place_with(130), [job(2, 1), job(1, 2)]);
 }
 
-/// A job of which a part is raised stands in the queue twice. Together they keep to its zones: each took the half that
-/// may be in one, and all of it was there.
+/// A job with boosted tasks has two entries in the queue, which together keep to its zone spread. Previously,
+/// each entry placed the half that one zone may hold, so that all tasks were in one zone.
 #[test]
-fn a_job_in_two_entries_keeps_to_its_zones() {
+fn a_job_with_two_queue_entries_keeps_its_zone_spread() {
     for kind in [JobKind::Service, JobKind::Array] {
-        let mut v = waiting(kind, &[(4, 10)]);
-        let s = JobSpec {
+        let mut view = waiting_jobs(kind, &[(4, 10)]);
+        let spec = JobSpec {
             zone_spread: true,
-            ..v.jobs["req-0"].spec.as_ref().clone()
+            ..view.jobs["req-0"].spec.as_ref().clone()
         };
-        v.put(&keys::job("req-0"), &record(&s), 9);
+        view.put(&keys::job("req-0"), &record(&spec), 9);
         let priority_boosts =
             BTreeMap::from([("req-0".to_string(), PriorityBoost { tasks: 2, level: 1 })]);
         let priority_boosts = PriorityBoosts {
             jobs: priority_boosts,
         };
-        v.put(keys::PRIORITY_BOOSTS, &to_value(&priority_boosts), 10);
-        let n: usize = given(&v).iter().map(|x| x.1).sum();
+        view.put(keys::PRIORITY_BOOSTS, &to_value(&priority_boosts), 10);
+        let placed: usize = placements(&view).iter().map(|x| x.1).sum();
         assert_eq!(
-            n, 2,
+            placed, 2,
             "{kind:?}: at most half in the only zone with machines"
         );
     }
