--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -1,4 +1,5 @@
-//! Jobs with zone constraints, and scale-out in the zones of these: what is lost in a zone is replaced there.
+//! Jobs with zone constraints, and scale-out in the zones of these jobs: capacity that is lost in a zone is
+//! replaced there.
 
 mod common;
 
@@ -17,49 +18,49 @@
 
 const NOW: Micros = 500 * SECOND;
 
-/// A fleet over three zones of machines with 16 CPUs.
+/// A simulated cluster of machines with 16 CPUs in three zones.
 struct TestCluster(Store);
 
 impl TestCluster {
     fn new() -> TestCluster {
-        let mut s = Store::default();
-        let mut t = machine_type("cpu", 16.0, 0.0);
-        t.zones = vec!["a".into(), "b".into(), "c".into()];
-        s.put(keys::TYPES.into(), &vec![t]);
-        TestCluster(s)
+        let mut store = Store::default();
+        let mut cpu_type = machine_type("cpu", 16.0, 0.0);
+        cpu_type.zones = vec!["a".into(), "b".into(), "c".into()];
+        store.put(keys::TYPES.into(), &vec![cpu_type]);
+        TestCluster(store)
     }
 
     fn machine(&mut self, id: &str, zone: &str, state: MachineState) {
-        let h = MachineRecord {
+        let record = MachineRecord {
             zone: zone.into(),
             state,
             ..up("cpu")
         };
-        self.0.put(keys::machine(id), &h);
+        self.0.put(keys::machine(id), &record);
     }
 
-    fn job(&mut self, id: &str, s: &JobSpec, slots: Vec<TaskState>) {
+    fn job(&mut self, id: &str, spec: &JobSpec, slots: Vec<TaskState>) {
         self.0
-            .put(keys::job(id), &JobRecord(s.clone(), TaskBlock(slots)));
+            .put(keys::job(id), &JobRecord(spec.clone(), TaskBlock(slots)));
     }
 
     fn view(&self) -> ClusterState {
-        let mut v = ClusterState::default();
-        for (rev, key, x) in &self.0.log {
-            match x {
-                Some(x) => v.put(key, x, *rev),
-                None => v.delete(key, *rev),
+        let mut view = ClusterState::default();
+        for (revision, key, value) in &self.0.log {
+            match value {
+                Some(value) => view.put(key, value, *revision),
+                None => view.delete(key, *revision),
             }
         }
-        v.revision = self.0.rev;
-        v
+        view.revision = self.0.rev;
+        view
     }
 
     fn decide(&self, refused: &dyn Fn(&str, bool) -> bool) -> ScalingDecision {
-        let v = self.view();
-        let forecast = forecast(&v);
+        let view = self.view();
+        let forecast = forecast(&view);
         decide(&CapacityForecast {
-            view: &v,
+            view: &view,
             schedule: &forecast,
             policy: &Policy::default(),
             objectives: &[],
@@ -73,16 +74,16 @@
     }
 }
 
-fn forecast(v: &ClusterState) -> Schedule {
+fn forecast(cluster_state: &ClusterState) -> Schedule {
     schedule(&SchedulingInput {
-        view: v,
+        view: cluster_state,
         wall_clock: NOW,
         teams: &[],
         objectives: &[],
-        schedulable: &|_, h| {
-            let counts = matches!(h.state, MachineState::Up | MachineState::Booting);
-            counts.then_some(SchedulableMachine {
-                session: h.session,
+        schedulable: &|_, record| {
+            let usable = matches!(record.state, MachineState::Up | MachineState::Booting);
+            usable.then_some(SchedulableMachine {
+                session: record.session,
                 owned: true,
             })
         },
@@ -98,9 +99,9 @@
     })
 }
 
-fn job(rank: Priority, tasks: u32, cpus: i64) -> JobSpec {
+fn job(job_priority: Priority, tasks: u32, cpus: i64) -> JobSpec {
     JobSpec {
-        priority: rank,
+        priority: job_priority,
         resources: Resources {
             cpus: cpus * 1000,
             gpus: 0,
@@ -112,53 +113,64 @@
     }
 }
 
-fn bound(rank: Priority, tasks: u32, zone: &str) -> JobSpec {
+fn zone_bound_job(job_priority: Priority, tasks: u32, zone: &str) -> JobSpec {
     JobSpec {
         zone: Some(zone.into()),
-        ..job(rank, tasks, 4)
+        ..job(job_priority, tasks, 4)
     }
 }
 
-fn zones(d: &ScalingDecision) -> Vec<&str> {
-    let mut list: Vec<&str> = d.scale_out.iter().map(|c| c.zone.as_str()).collect();
+fn zones_scaled_out(decision: &ScalingDecision) -> Vec<&str> {
+    let mut list: Vec<&str> = decision.scale_out.iter().map(|c| c.zone.as_str()).collect();
     list.dedup();
     list
 }
 
-/// Its zone has lost its machines, the others have room and are cheaper to no one. Beside it other work waits that
-/// may go anywhere: machines were rented for all of it where it was cheapest, and it waited there for good.
+/// The zone of a job has lost its machines; the other zones have free capacity, and none is cheaper. Other
+/// jobs wait that may run in any zone. Previously, machines were provisioned for all of these jobs in the
+/// cheapest zone, and the zone-bound job waited forever.
 #[test]
-fn what_is_bound_to_a_zone_is_rented_for_there() {
-    let mut s = TestCluster::new();
-    for k in 0..6 {
-        s.machine(&format!("m-{k}"), "a", MachineState::Up);
+fn zone_bound_jobs_scale_out_in_their_zone() {
+    let mut cluster = TestCluster::new();
+    for index in 0..6 {
+        cluster.machine(&format!("m-{index}"), "a", MachineState::Up);
     }
-    s.job("req-1", &bound(Priority::Low, 8, "b"), Vec::new());
-    assert_eq!(zones(&s.decide(&|_, _| false)), ["b"]);
-    s.job("req-2", &job(Priority::Low, 400, 4), Vec::new());
-    let d = s.decide(&|_, _| false);
+    cluster.job("req-1", &zone_bound_job(Priority::Low, 8, "b"), Vec::new());
+    assert_eq!(zones_scaled_out(&cluster.decide(&|_, _| false)), ["b"]);
+    cluster.job("req-2", &job(Priority::Low, 400, 4), Vec::new());
+    let decision = cluster.decide(&|_, _| false);
     assert!(
-        zones(&d).contains(&"b") && zones(&d).contains(&"a"),
-        "{d:?}"
+        zones_scaled_out(&decision).contains(&"b") && zones_scaled_out(&decision).contains(&"a"),
+        "{decision:?}"
+    );
+    // Spot machines are unavailable in the zone, then all machines: those of other zones are of no use to the
+    // job.
+    let decision = cluster.decide(&|zone, spot| zone == "b" && spot);
+    assert!(decision.scale_out.iter().any(|c| c.zone == "b" && !c.spot));
+    let decision = cluster.decide(&|zone, _| zone == "b");
+    assert!(!zones_scaled_out(&decision).contains(&"b") && !decision.scale_out.is_empty());
+    let mut single_job_cluster = TestCluster::new();
+    single_job_cluster.job("req-1", &zone_bound_job(Priority::Low, 8, "b"), Vec::new());
+    assert!(
+        single_job_cluster
+            .decide(&|zone, _| zone == "b")
+            .scale_out
+            .is_empty()
     );
-    // Cheap ones are gone there, then all: the others are of no use to it.
-    let d = s.decide(&|zone, spot| zone == "b" && spot);
-    assert!(d.scale_out.iter().any(|c| c.zone == "b" && !c.spot));
-    let d = s.decide(&|zone, _| zone == "b");
-    assert!(!zones(&d).contains(&"b") && !d.scale_out.is_empty());
-    let mut alone = TestCluster::new();
-    alone.job("req-1", &bound(Priority::Low, 8, "b"), Vec::new());
-    assert!(alone.decide(&|zone, _| zone == "b").scale_out.is_empty());
 }
 
-/// Room in its own zone is what counts: no machines come for what the zone has room for.
+/// No machines are added for a zone-bound job while its zone has free capacity for it.
 #[test]
-fn what_has_room_in_its_zone_is_not_rented_for() {
-    let mut s = TestCluster::new();
-    s.machine("m-1", "b", MachineState::Up);
-    s.machine("m-2", "b", MachineState::Booting);
-    s.job("req-1", &bound(Priority::Normal, 8, "b"), Vec::new());
-    assert!(s.decide(&|_, _| false).scale_out.is_empty());
+fn zone_bound_jobs_use_free_capacity_first() {
+    let mut cluster = TestCluster::new();
+    cluster.machine("m-1", "b", MachineState::Up);
+    cluster.machine("m-2", "b", MachineState::Booting);
+    cluster.job(
+        "req-1",
+        &zone_bound_job(Priority::Normal, 8, "b"),
+        Vec::new(),
+    );
+    assert!(cluster.decide(&|_, _| false).scale_out.is_empty());
 }
 
 fn placed(machine: &str) -> TaskState {
@@ -170,13 +182,14 @@
     })
 }
 
-/// At most half of its tasks may be in one zone, and one zone is gone: the rest comes in another, where it may go.
+/// At most half of the tasks of a job may be in one zone, and one zone has failed: the rest is placed on new
+/// machines in another zone that the constraint allows.
 #[test]
-fn what_has_to_be_spread_is_rented_for_where_it_may_go() {
+fn spread_jobs_scale_out_in_allowed_zones() {
     for kind in [JobKind::Service, JobKind::Array] {
-        let mut s = TestCluster::new();
-        s.machine("m-1", "a", MachineState::Up);
-        let wide = JobSpec {
+        let mut cluster = TestCluster::new();
+        cluster.machine("m-1", "a", MachineState::Up);
+        let spread_job = JobSpec {
             kind,
             priority: Priority::High,
             zone_spread: true,
@@ -188,96 +201,107 @@
             TaskState::Waiting(1),
             TaskState::Waiting(1),
         ];
-        s.job("req-1", &wide, slots.clone());
-        // For services some room is kept besides, wherever.
-        let of = |d: ScalingDecision| {
-            let list = d.scale_out.into_iter().map(|c| c.zone);
+        cluster.job("req-1", &spread_job, slots.clone());
+        // Machines of the capacity reserve for services, which may be in any zone, are ignored.
+        let scale_out_zones = |decision: ScalingDecision| {
+            let list = decision.scale_out.into_iter().map(|c| c.zone);
             let list = list.filter(|z| kind == JobKind::Array || z != "a");
             list.collect::<Vec<String>>()
         };
-        assert_eq!(of(s.decide(&|_, _| false)), ["b"], "two are in a");
-        assert_eq!(of(s.decide(&|zone, _| zone == "b")), ["c"]);
-        // All in one zone: where the first are.
-        let close = JobSpec {
+        assert_eq!(
+            scale_out_zones(cluster.decide(&|_, _| false)),
+            ["b"],
+            "two tasks run in zone a"
+        );
+        assert_eq!(
+            scale_out_zones(cluster.decide(&|zone, _| zone == "b")),
+            ["c"]
+        );
+        // A job with all tasks in one zone scales out where its first tasks run.
+        let single_zone_job = JobSpec {
             single_zone: true,
             zone_spread: false,
-            ..wide
+            ..spread_job
         };
-        let mut s = TestCluster::new();
-        s.machine("m-1", "c", MachineState::Up);
-        s.job("req-1", &close, vec![placed("m-1"), TaskState::Waiting(1)]);
-        let full = job(Priority::High, 1, 12);
-        s.job("req-2", &full, vec![placed("m-1")]);
-        assert_eq!(of(s.decide(&|_, _| false)), ["c"]);
+        let mut cluster = TestCluster::new();
+        cluster.machine("m-1", "c", MachineState::Up);
+        cluster.job(
+            "req-1",
+            &single_zone_job,
+            vec![placed("m-1"), TaskState::Waiting(1)],
+        );
+        let other_job = job(Priority::High, 1, 12);
+        cluster.job("req-2", &other_job, vec![placed("m-1")]);
+        assert_eq!(scale_out_zones(cluster.decide(&|_, _| false)), ["c"]);
     }
 }
 
-/// Machines close while nothing waits. What comes then and is not worth a rental still gets their room, before it
-/// has waited for long.
+/// Machines close while no job waits. A job that is submitted afterwards and does not justify a new machine
+/// still gets their capacity, before it has waited for long.
 #[test]
-fn room_on_closing_machines_is_for_what_waited_long() {
+fn closing_machines_reopen_for_long_waiting_jobs() {
     let reopened = |waited: Micros| {
-        let mut s = TestCluster::new();
-        for k in 0..40 {
-            let id = format!("m-{k}");
-            s.machine(&id, "a", MachineState::Up);
-            s.job(
-                &format!("req-{k}"),
+        let mut cluster = TestCluster::new();
+        for index in 0..40 {
+            let id = format!("m-{index}");
+            cluster.machine(&id, "a", MachineState::Up);
+            cluster.job(
+                &format!("req-{index}"),
                 &job(Priority::Low, 1, 16),
                 vec![placed(&id)],
             );
         }
-        s.machine("m-90", "a", MachineState::Closing);
-        let late = JobSpec {
+        cluster.machine("m-90", "a", MachineState::Closing);
+        let waiting_job = JobSpec {
             submitted_at: NOW - waited,
             estimated_run_time: SECOND,
             ..job(Priority::Low, 1, 4)
         };
-        s.job("req-99", &late, Vec::new());
-        s.decide(&|_, _| false).uncordon.len()
+        cluster.job("req-99", &waiting_job, Vec::new());
+        cluster.decide(&|_, _| false).uncordon.len()
     };
-    assert_eq!(reopened(5 * SECOND), 0, "what runs ends soon");
+    assert_eq!(reopened(5 * SECOND), 0, "the running tasks end soon");
     assert_eq!(reopened(60 * SECOND), 1);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(39), ..ProptestConfig::default() })]
 
-    /// Whatever waits where: each zone with bound work that has no room and may be had is rented in, or has machines
-    /// that boot; and no zone that nobody asked for gets any.
+    /// For any queue, each zone with zone-bound jobs that lack capacity and with available machines is scaled
+    /// out, or has booting machines; and no zone without demand gets any.
     #[test]
-    fn every_zone_with_bound_work_gets_machines(
+    fn every_zone_with_bound_jobs_scales_out(
         machines in proptest::collection::vec((0usize..3, any::<bool>()), 0..8),
         jobs in proptest::collection::vec((0usize..4, 0usize..2, 1u32..40), 1..10),
     ) {
         let names = ["a", "b", "c"];
-        let mut s = TestCluster::new();
-        for (k, (zone, boots)) in machines.iter().enumerate() {
-            let state = if *boots { MachineState::Booting } else { MachineState::Up };
-            s.machine(&format!("m-{k}"), names[*zone], state);
+        let mut cluster = TestCluster::new();
+        for (index, (zone, booting)) in machines.iter().enumerate() {
+            let state = if *booting { MachineState::Booting } else { MachineState::Up };
+            cluster.machine(&format!("m-{index}"), names[*zone], state);
         }
         let mut anywhere = false;
-        for (k, (zone, rank, tasks)) in jobs.iter().enumerate() {
-            let rank = [Priority::Normal, Priority::Low][*rank];
+        for (index, (zone, job_priority, tasks)) in jobs.iter().enumerate() {
+            let job_priority = [Priority::Normal, Priority::Low][*job_priority];
             match names.get(*zone) {
-                Some(z) => s.job(&format!("req-{k}"), &bound(rank, *tasks, z), Vec::new()),
+                Some(zone_name) => cluster.job(&format!("req-{index}"), &zone_bound_job(job_priority, *tasks, zone_name), Vec::new()),
                 None => {
                     anywhere = true;
-                    s.job(&format!("req-{k}"), &job(rank, *tasks, 4), Vec::new());
+                    cluster.job(&format!("req-{index}"), &job(job_priority, *tasks, 4), Vec::new());
                 }
             }
         }
-        let v = s.view();
-        let lacks: Vec<&str> = {
-            let f = forecast(&v);
-            let zone = |id: &str| v.jobs[id].spec.zone.as_deref();
-            names.into_iter().filter(|z| f.unplaced.iter().any(|(id, _)| zone(id) == Some(z))).collect()
+        let view = cluster.view();
+        let zones_without_room: Vec<&str> = {
+            let forecast = forecast(&view);
+            let zone = |id: &str| view.jobs[id].spec.zone.as_deref();
+            names.into_iter().filter(|z| forecast.unplaced.iter().any(|(id, _)| zone(id) == Some(z))).collect()
         };
-        let d = s.decide(&|_, _| false);
-        for z in names {
-            let rented = zones(&d).contains(&z);
-            prop_assert!(rented || !lacks.contains(&z), "{z}: {d:?}");
-            prop_assert!(!rented || lacks.contains(&z) || anywhere, "{z}: {d:?}");
+        let decision = cluster.decide(&|_, _| false);
+        for zone in names {
+            let scaled_out = zones_scaled_out(&decision).contains(&zone);
+            prop_assert!(scaled_out || !zones_without_room.contains(&zone), "{zone}: {decision:?}");
+            prop_assert!(!scaled_out || zones_without_room.contains(&zone) || anywhere, "{zone}: {decision:?}");
         }
     }
 }
