--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,5 +1,5 @@
-//! Client of the state service: transactions, leases, lists, reads and watches, within a budget of requests
-//! and writes. It keeps nothing of what it reads.
+//! Client of the state service: transactions, leases, lists, reads and watches, rate-limited to a budget of
+//! requests and writes. The client is stateless apart from this budget: it caches nothing that it reads.
 
 use super::token_bucket::TokenBucket;
 use crate::time::{Clock, MILLI, Micros, SECOND, to_duration};
@@ -12,48 +12,49 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Most time for a transaction: afterwards its outcome counts as unknown, and its keys are read again.
+/// Timeout of a transaction. After it the outcome is treated as unknown, and the keys are read again.
 const TRANSACTION_TIMEOUT: Micros = 3 * SECOND / 2;
-/// Most time for a page of a list: the largest answers there are.
-const LIST_TIMEOUT: Micros = 5 * SECOND;
-/// Most time to take or renew a lease: short, so that a failed renewal is tried again before the expiry.
+/// Timeout of one page of a list. Longer than the others because list pages are the largest responses.
+const LIST_PAGE_TIMEOUT: Micros = 5 * SECOND;
+/// Timeout for granting or renewing a lease. Short, so that a failed renewal is retried before the lease
+/// expires.
 const LEASE_TIMEOUT: Micros = SECOND;
-/// Most time for a watch that does not wait for changes.
-const READ_TIMEOUT: Micros = SECOND;
-/// Most time for a watch beyond the time that it waits for changes. During an outage of the service an open
-/// watch stays open without an answer.
-const WATCH_GRACE: Micros = 2 * SECOND;
+/// Timeout of a watch that does not wait for changes.
+const LINEARIZABLE_READ_TIMEOUT: Micros = SECOND;
+/// Timeout of a watch in addition to the time that it waits for changes. During an outage of the service an
+/// open watch stays open without a response.
+const WATCH_TIMEOUT_MARGIN: Micros = 2 * SECOND;
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Debug, PartialEq)]
 pub enum TransactionOutcome {
-    /// Carried out at this revision.
+    /// Committed at this revision.
     Done(u64),
-    /// Not carried out: preconditions on these keys failed.
+    /// Not committed: preconditions on these keys failed.
     Conflict(Vec<String>),
-    /// Not carried out, with this HTTP status: malformed, over a limit or out of service.
+    /// Not committed, with this HTTP status: malformed, over a rate limit or service unavailable.
     Refused(u16),
-    /// No answer that can be read: may have been carried out, or may yet be.
+    /// No response that can be decoded: the transaction may have been committed or may still be committed.
     Unknown,
 }
 
-/// Smallest and largest revision at which the pages of a list were read.
+/// Range of the revisions at which the pages of a list were read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RevisionRange {
-    /// Every change up to it is in the list.
+    /// Smallest revision: the list contains every change up to it.
     pub smallest: u64,
-    /// No change after it is in the list.
+    /// Largest revision: the list contains no change after it.
     pub largest: u64,
 }
 
 impl RevisionRange {
-    /// Of no page yet.
+    /// Range before any page was read: the neutral element of `union`.
     pub const EMPTY: RevisionRange = RevisionRange {
         smallest: u64::MAX,
         largest: 0,
     };
 
-    /// The range that covers both.
+    /// Returns the smallest range that contains both ranges.
     #[must_use]
     pub fn union(self, other: RevisionRange) -> RevisionRange {
         RevisionRange {
@@ -63,7 +64,7 @@
     }
 }
 
-/// The client. Every call waits for the budget first and then for the answer.
+/// Client of the state service. Every call first waits for the rate budget and then for the response.
 pub struct StoreClient {
     http: Rc<Client>,
     address: SocketAddr,
@@ -73,7 +74,7 @@
 }
 
 impl StoreClient {
-    /// A client with a budget of requests and of written keys, each a second.
+    /// Creates a client with a budget of requests and of written keys per second.
     pub fn new(
         http: Rc<Client>,
         address: SocketAddr,
@@ -90,32 +91,33 @@
         }
     }
 
-    /// Waits until one request that writes so many keys is within the budget.
-    async fn wait_for_budget(&self, writes: usize) {
+    /// Waits until one request that writes this number of keys is within the budget.
+    async fn wait_for_budget(&self, written_keys: usize) {
         let now = self.clock.now();
         let mut delay = self.requests.borrow_mut().take(1.0, now);
-        if writes > 0 {
-            delay = delay.max(self.writes.borrow_mut().take(writes as f64, now));
+        if written_keys > 0 {
+            delay = delay.max(self.writes.borrow_mut().take(written_keys as f64, now));
         }
         if delay > 0 {
             Timer::after(to_duration(delay)).await;
         }
     }
 
-    /// How long a write would have to wait for the budget.
+    /// Returns the time that a write would have to wait for the budget.
     pub fn write_delay(&self) -> Micros {
         let now = self.clock.now();
         self.writes.borrow_mut().delay(now)
     }
 
-    /// Keys that could be written at once, and the most that this ever is.
+    /// Returns the number of keys that could be written without waiting, and the burst size of the write
+    /// budget.
     pub fn write_level(&self) -> (f64, f64) {
         let now = self.clock.now();
         let mut writes = self.writes.borrow_mut();
         (writes.available(now), writes.burst())
     }
 
-    /// Sets another budget from now on: the limits are shared by the controllers that are alive.
+    /// Changes the budget from now on. The limits of the service are shared by all live controllers.
     pub fn set_rates(&self, requests_per_s: f64, writes_per_s: f64) {
         let now = self.clock.now();
         self.requests.borrow_mut().set_rate(requests_per_s, now);
@@ -134,12 +136,12 @@
         if let Ok(response) = &response
             && response.status == 429
         {
-            tracing::info!("state service refused a request over its rate limit");
+            tracing::info!("state service rejected a request that exceeds its rate limit");
         }
         response
     }
 
-    /// Runs a transaction.
+    /// Executes a transaction.
     pub async fn transaction(&self, transaction: &Transaction) -> TransactionOutcome {
         self.wait_for_budget(transaction.mutations.len()).await;
         if tracing::enabled!(tracing::Level::DEBUG) {
@@ -158,18 +160,18 @@
         }
     }
 
-    /// Reads every key under a prefix, in pages that may be of different revisions.
+    /// Reads all keys under a prefix, in pages that may have been read at different revisions.
     pub async fn list(
         &self,
         prefix: &str,
-        mut each: impl FnMut(state::Item),
+        mut on_item: impl FnMut(state::Item),
     ) -> Result<RevisionRange, WireError> {
         let mut after: Option<String> = None;
         let mut revisions = RevisionRange::EMPTY;
         loop {
             self.wait_for_budget(0).await;
             let path = state::list(prefix, after.as_deref());
-            let call = self.call(Method::Get, &path, None, LIST_TIMEOUT);
+            let call = self.call(Method::Get, &path, None, LIST_PAGE_TIMEOUT);
             let page: Page = call.await?.ok()?;
             revisions = revisions.union(RevisionRange {
                 smallest: page.revision,
@@ -177,7 +179,7 @@
             });
             after = page.items.last().map(|item| item.key.clone());
             for item in page.items {
-                each(item);
+                on_item(item);
             }
             if !page.more || after.is_none() {
                 return Ok(revisions);
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Reads one key; `None` if it does not exist.
+    /// Reads one key. Returns `None` if it does not exist.
     pub async fn get(&self, key: &str, timeout: Micros) -> Result<Option<state::Item>, WireError> {
         self.wait_for_budget(0).await;
         let path = state::key(key);
@@ -193,7 +195,8 @@
         match response.status {
             200 => Ok(Some(decode(&response.body)?)),
             404 => {
-                // The service says at which revision it was missing; a 404 without that is not its answer.
+                // The service reports the revision at which the key was missing. A 404 without it did not
+                // come from the service itself.
                 decode::<Revision>(&response.body)?;
                 Ok(None)
             }
@@ -201,8 +204,8 @@
         }
     }
 
-    /// Asks for changes after a revision and waits for the first so long. With a wait of 0 this is a
-    /// linearizable read: its answer holds every change that was committed before the call.
+    /// Requests the changes after a revision and waits up to `wait` for the first one. With a wait of 0 this
+    /// is a linearizable read: the response contains every change that was committed before the call.
     pub async fn watch(
         &self,
         prefix: &str,
@@ -212,14 +215,14 @@
         self.wait_for_budget(0).await;
         let path = state::watch(prefix, after, wait / MILLI);
         let timeout = if wait == 0 {
-            READ_TIMEOUT
+            LINEARIZABLE_READ_TIMEOUT
         } else {
-            wait + WATCH_GRACE
+            wait + WATCH_TIMEOUT_MARGIN
         };
         self.call(Method::Get, &path, None, timeout).await?.ok()
     }
 
-    /// Takes a lease and returns its id.
+    /// Grants a new lease and returns its id.
     pub async fn lease(&self, time_to_live: Micros) -> Result<u64, WireError> {
         let body = encode(&LeaseRequest {
             ttl_ms: time_to_live / MILLI,
@@ -228,7 +231,7 @@
         Ok(call.await?.ok::<Lease>()?.id)
     }
 
-    /// Renews a lease: false if it has expired.
+    /// Renews a lease. Returns false if it has expired.
     pub async fn renew(&self, id: u64) -> Result<bool, WireError> {
         let path = state::renew(id);
         let call = self.call(Method::Post, &path, Some(Vec::new()), LEASE_TIMEOUT);
@@ -240,20 +243,20 @@
     }
 }
 
-/// What the service's answer says of a transaction.
+/// Maps the service's response to the outcome of a transaction.
 fn transaction_outcome(transaction: &Transaction, response: &ClientResponse) -> TransactionOutcome {
     match response.status {
         200 => match decode::<Revision>(&response.body) {
-            Ok(answer) => TransactionOutcome::Done(answer.revision),
+            Ok(committed) => TransactionOutcome::Done(committed.revision),
             Err(_) => TransactionOutcome::Unknown,
         },
         409 => {
-            let failed = decode::<Revision>(&response.body).map(|answer| answer.failed);
+            let failed = decode::<Revision>(&response.body).map(|conflict| conflict.failed);
             TransactionOutcome::Conflict(failed.unwrap_or_default())
         }
         status @ (400 | 429 | 503) => {
             if status == 400 {
-                log_malformed(transaction, response);
+                log_malformed_transaction(transaction, response);
             }
             TransactionOutcome::Refused(status)
         }
@@ -261,9 +264,9 @@
     }
 }
 
-/// Logs that the service refused a transaction as malformed, which is a fault of ours, unless it only says
-/// that the lease of one of the keys has expired.
-fn log_malformed(transaction: &Transaction, response: &ClientResponse) {
+/// Logs that the service rejected a transaction as malformed, which is a fault of this controller. Does not
+/// log if the response only reports that the lease of one of the keys has expired.
+fn log_malformed_transaction(transaction: &Transaction, response: &ClientResponse) {
     let reason = String::from_utf8_lossy(&response.body);
     if reason.contains("no such lease") {
         return;
@@ -274,6 +277,6 @@
         preconditions = transaction.preconditions.len(),
         largest_value_bytes = transaction.largest(),
         reason = reason.replace('\n', " "),
-        "state service refused a transaction as malformed"
+        "state service rejected a transaction as malformed"
     );
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,5 +1,5 @@
-//! The state service as this controller uses it: its client, the names of its keys, and the copy of its
-//! contents that watches keep current.
+//! Access to the state service: its client, the names of its keys, and a copy of its contents that watches
+//! keep current.
 
 pub mod client;
 pub mod cluster_state;
--- a/src/store/token_bucket.rs
+++ b/src/store/token_bucket.rs
@@ -1,18 +1,18 @@
-//! Token bucket: keeps the requests and writes to the state service within this controller's share of the
-//! service's limits.
+//! Token bucket that limits requests and writes to the state service to this controller's share of the
+//! service's rate limits.
 
 use crate::time::{MILLI, Micros};
 
-/// A rate that refills with time, with a burst of one second's worth and at least one token.
+/// Token bucket with a refill rate and a burst size of one second's refill, at least one token.
 pub(super) struct TokenBucket {
     tokens_per_s: f64,
-    /// Tokens left; negative while callers wait for theirs.
+    /// Available tokens. Negative while callers wait for tokens taken in advance.
     tokens: f64,
     refilled_at: Micros,
 }
 
 impl TokenBucket {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(super) fn new(tokens_per_s: f64) -> TokenBucket {
         TokenBucket {
             tokens_per_s,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The most that is ever in it.
+    /// Returns the capacity of the bucket.
     pub(super) fn burst(&self) -> f64 {
         self.tokens_per_s.max(1.0)
     }
@@ -35,15 +35,16 @@
         self.tokens = self.tokens.min(self.burst());
     }
 
-    /// Takes tokens and returns how long to wait before using them. Whoever asks first is served first.
+    /// Takes tokens and returns the time to wait before using them. Callers are served in first-come,
+    /// first-served order.
     pub(super) fn take(&mut self, count: f64, now: Micros) -> Micros {
         self.refill(now);
         self.tokens -= count;
         self.debt_delay()
     }
 
-    /// How long until the tokens that were taken in advance are refilled, rounded up by a millisecond so
-    /// that no caller comes a moment early.
+    /// Returns the time until the tokens that were taken in advance are refilled, plus one millisecond so
+    /// that rounding never releases a caller too early.
     fn debt_delay(&self) -> Micros {
         if self.tokens >= 0.0 {
             0
@@ -52,19 +53,19 @@
         }
     }
 
-    /// Tokens that could be taken without waiting; negative while others wait.
+    /// Returns the number of tokens that could be taken without waiting. Negative while other callers wait.
     pub(super) fn available(&mut self, now: Micros) -> f64 {
         self.refill(now);
         self.tokens
     }
 
-    /// Sets another rate from now on.
+    /// Changes the refill rate from now on.
     pub(super) fn set_rate(&mut self, tokens_per_s: f64, now: Micros) {
         self.refill(now);
         self.tokens_per_s = tokens_per_s;
     }
 
-    /// How long one more caller would have to wait.
+    /// Returns the time that one more caller would have to wait.
     pub(super) fn delay(&mut self, now: Micros) -> Micros {
         self.refill(now);
         self.debt_delay()
