--- a/src/store/cluster_state/finished_jobs.rs
+++ b/src/store/cluster_state/finished_jobs.rs
@@ -1,5 +1,5 @@
-//! Jobs that ended: their final states, as far as they were read lately, and what the totals of the service
-//! levels have yet to count.
+//! Finished jobs: a cache of recently read final states, and the ends of jobs that are not yet included in
+//! the service level totals.
 
 use super::ClusterState;
 use crate::fairness::service_levels::{self, JobEnd};
@@ -10,17 +10,18 @@
 use foldhash::HashMap;
 use std::collections::VecDeque;
 
-/// Final states kept for polls and dependencies; older ones are read from the state service again.
+/// Number of final states kept for status requests and dependencies. Older ones are read from the state
+/// service again.
 const MAX_FINISHED_JOBS: usize = 20_000;
-/// Ends of jobs kept for the leader to add up. If more jobs end between two of its writes, the oldest are
-/// missing from the totals.
+/// Number of job ends kept for the leader to add to the totals. If more jobs end between two writes of the
+/// leader, the oldest are missing from the totals.
 const MAX_JOB_ENDS: usize = 5_000;
 
-/// Final states read lately; the oldest go first.
+/// Cache of recently read final states. The oldest entries are evicted first.
 #[derive(Default)]
 pub(super) struct FinishedJobCache {
     by_id: HashMap<JobId, FinishedJob>,
-    order: VecDeque<JobId>,
+    insertion_order: VecDeque<JobId>,
 }
 
 impl FinishedJobCache {
@@ -32,16 +33,16 @@
         if self.by_id.insert(id.clone(), finished).is_some() {
             return;
         }
-        self.order.push_back(id.clone());
-        while self.order.len() > MAX_FINISHED_JOBS {
-            if let Some(oldest) = self.order.pop_front() {
+        self.insertion_order.push_back(id.clone());
+        while self.insertion_order.len() > MAX_FINISHED_JOBS {
+            if let Some(oldest) = self.insertion_order.pop_front() {
                 self.by_id.remove(&oldest);
             }
         }
     }
 }
 
-/// Ends of jobs in the order in which they were read; the oldest go first.
+/// Ends of jobs in the order in which they were read. The oldest entries are evicted first.
 #[derive(Default)]
 pub(super) struct RecentJobEnds(VecDeque<JobEnd>);
 
@@ -55,16 +56,16 @@
 }
 
 impl ClusterState {
-    /// A final state was written or read. It enters the cache and needs no key version: final states are
-    /// never changed, and there are too many to keep a version of each.
+    /// Adds a final state that was written or read to the cache. No key version is kept for it: final states
+    /// never change, and there are too many to keep a version of each.
     pub(super) fn apply_finished_job(&mut self, key: &str, id: &str, value: Option<&Value>) {
         if let Some(finished) = value.and_then(from_value) {
             self.remember_finished_job(&id.into(), finished);
         }
-        self.key_versions.forget(key);
+        self.key_versions.remove_version(key);
     }
 
-    /// Keeps a final state at hand, and refreshes the jobs that depend on that job.
+    /// Caches a final state and refreshes the jobs that depend on that job.
     pub fn remember_finished_job(&mut self, id: &JobId, finished: FinishedJob) {
         if let Some(dependents) = self.dependents.get(id) {
             let dependents = dependents.iter().cloned().collect();
@@ -75,23 +76,24 @@
         self.finished_jobs.insert(id, finished);
     }
 
-    /// A job's final state, if it was read lately.
+    /// Returns a job's final state if it is in the cache.
     pub fn finished_job(&self, id: &str) -> Option<FinishedJob> {
         self.finished_jobs.get(id)
     }
 
-    /// A job's final state, if it was read lately or unfinished jobs depend on that job.
+    /// Returns a job's final state if it is in the cache or unfinished jobs depend on that job.
     pub fn known_finished_job(&self, id: &str) -> Option<FinishedJob> {
         self.finished_job(id)
             .or_else(|| self.finished_dependencies.get(id).copied())
     }
 
-    /// Ends of jobs, in the order in which they were read.
+    /// Returns the recent ends of jobs in the order in which they were read.
     pub fn recent_job_ends(&self) -> impl Iterator<Item = &JobEnd> {
         self.recent_job_ends.0.iter()
     }
 
-    /// Before the deletion of a key at a revision is applied: if it is a job's record, notes how the job ended.
+    /// Records how a job ended if the key to be deleted is a job record. Must be called before the deletion
+    /// is applied.
     pub(super) fn record_job_end(&mut self, key: &str, revision: u64) {
         let Some(id) = key.strip_prefix(keys::JOBS) else {
             return;
--- a/src/store/cluster_state/key_versions.rs
+++ b/src/store/cluster_state/key_versions.rs
@@ -1,37 +1,37 @@
-//! Versions of keys and tombstones: decides whether a change is newer than what is known of its key.
+//! Key versions and tombstones, which determine whether a change is newer than the known state of its key.
 //!
-//! Lists, watches and own transactions arrive in any order; a change counts only if it is newer than both
-//! the key's version and its tombstone.
+//! Results of lists, watches and this controller's own transactions arrive in any order. A change is applied
+//! only if it is newer than both the key's version and its tombstone.
 
 use foldhash::{HashMap, HashSet};
 use std::collections::VecDeque;
 
-/// Tombstones kept, so that deletions do not fill the memory. A tombstone only has to outlive the deliveries
-/// of older writes that are still under way, a matter of seconds.
+/// Number of tombstones kept, which bounds the memory that deletions use. A tombstone only has to outlive the
+/// in-flight deliveries of older writes, which takes seconds.
 const MAX_TOMBSTONES: usize = 20_000;
 
-/// What is known of the versions of keys.
+/// Known versions and tombstones of keys.
 #[derive(Default)]
 pub(super) struct KeyVersions {
     versions: HashMap<String, u64>,
-    /// Revision at which a key was deleted.
+    /// Revision of the deletion, by deleted key.
     tombstones: HashMap<String, u64>,
-    /// Keys in the order in which their tombstones were set: the oldest go first.
+    /// Keys in the order in which their tombstones were set. The oldest tombstones are evicted first.
     tombstone_order: VecDeque<String>,
 }
 
 impl KeyVersions {
-    /// Version of a key; 0 if it does not exist.
+    /// Returns the version of a key, or 0 if it does not exist.
     pub(super) fn version(&self, key: &str) -> u64 {
         self.versions.get(key).copied().unwrap_or(0)
     }
 
-    /// Whether a key exists.
+    /// Returns whether a key exists.
     pub(super) fn contains(&self, key: &str) -> bool {
         self.versions.contains_key(key)
     }
 
-    /// Whether a key is known to have been deleted.
+    /// Returns whether a key has a tombstone.
     pub(super) fn is_deleted(&self, key: &str) -> bool {
         self.tombstones.contains_key(key)
     }
@@ -40,7 +40,7 @@
         self.tombstones.get(key).copied().unwrap_or(0)
     }
 
-    /// Records a write; false if it is not newer than what is known.
+    /// Records a write. Returns false if it is not newer than the known state of the key.
     pub(super) fn record_put(&mut self, key: &str, version: u64) -> bool {
         if version <= self.version(key).max(self.deleted_at(key)) {
             return false;
@@ -50,7 +50,8 @@
         true
     }
 
-    /// Records a deletion; false if it is not newer than what is known or the key was not known to exist.
+    /// Records a deletion. Returns false if it is not newer than the known state of the key, or if the key
+    /// was not known to exist.
     pub(super) fn record_delete(&mut self, key: &str, revision: u64) -> bool {
         if revision <= self.version(key) || revision <= self.deleted_at(key) {
             return false;
@@ -59,7 +60,7 @@
         self.versions.remove(key).is_some()
     }
 
-    /// Ignores writes of a key up to a revision, for as long as the tombstone is kept.
+    /// Sets a tombstone, which causes writes of a key up to a revision to be ignored while it is kept.
     pub(super) fn set_tombstone(&mut self, key: String, revision: u64) {
         self.tombstones.insert(key.clone(), revision);
         self.tombstone_order.push_back(key);
@@ -70,13 +71,14 @@
         }
     }
 
-    /// Forgets a key's version without a tombstone.
-    pub(super) fn forget(&mut self, key: &str) {
+    /// Removes a key's version without setting a tombstone.
+    pub(super) fn remove_version(&mut self, key: &str) {
         self.versions.remove(key);
     }
 
-    /// Keys under a prefix that a read at a revision did not list and that are not newer than it.
-    pub(super) fn missing(
+    /// Returns the known keys under a prefix that are not in the list read at a revision and not newer than
+    /// it.
+    pub(super) fn unlisted_keys(
         &self,
         prefix: &str,
         listed: &HashSet<String>,
--- a/src/store/cluster_state/mod.rs
+++ b/src/store/cluster_state/mod.rs
@@ -1,14 +1,14 @@
-//! The cluster state as this controller has read it from the state service.
+//! Cluster state as read from the state service by this controller.
 //!
-//! [`ClusterState`] is pure memory: it does no input or output and has no clock. It is changed through
+//! [`ClusterState`] is an in-memory data structure without I/O and without a clock. It is changed through
 //! [`ClusterState::put`], [`ClusterState::delete`] and [`ClusterState::retain_prefix`], which `WatchCache`
-//! calls with what it lists, watches and writes itself, through [`ClusterState::remember_finished_job`] for
-//! final states read one by one, and through [`ClusterState::merge_cancelled`] for cancellations that peers
-//! report. Everybody else only reads it.
+//! calls with the results of its lists, watches and own writes, through
+//! [`ClusterState::remember_finished_job`] for final states read individually, and through
+//! [`ClusterState::merge_cancelled`] for cancellations that peers report. All other code only reads it.
 //!
-//! `apply` dispatches a change by the kind of its key to one function a kind; each of these lives in the
-//! file of the data that it changes and updates the indexes along the way, so that the cost of a change
-//! follows the size of the change and not that of the cluster.
+//! `apply` dispatches a change by the kind of its key to one function per kind. Each of these functions is in
+//! the file of the data that it changes and updates the indexes incrementally, so that the cost of a change
+//! depends on the size of the change and not on the size of the cluster.
 
 mod apply;
 mod cancellations;
@@ -43,85 +43,85 @@
 use foldhash::{HashMap, HashSet};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The cluster state: a decoded copy of the keys of the state service, with indexes over it.
+/// Decoded copy of the keys of the state service, with indexes over it.
 #[derive(Default)]
 pub struct ClusterState {
-    /// Every change up to this revision of the state service is applied.
+    /// Revision of the state service up to which every change is applied.
     pub revision: u64,
-    /// Versions of the keys that exist and revisions at which others were deleted.
+    /// Versions of the existing keys and deletion revisions of deleted keys.
     key_versions: KeyVersions,
-    /// Controllers alive, by name.
+    /// Live controllers, by name.
     pub members: BTreeMap<String, Member>,
-    /// The leader.
+    /// Current leader.
     pub leader: Option<Leader>,
     /// Shards with their owners and terms, by number.
     pub shards: BTreeMap<u32, Shard>,
     /// Unfinished jobs.
     pub jobs: BTreeMap<JobId, Job>,
-    /// Block keys that exist, by job and number of the block. The value is kept only while the job's own
-    /// record is not known; afterwards `jobs` has it.
+    /// Existing block keys, by job and block number. The value is kept only until the job's record is known;
+    /// afterwards `jobs` contains it.
     block_keys: HashMap<JobId, BTreeMap<u32, Option<StoredBlock>>>,
-    /// Part keys that blocks are split into, or are about to be.
+    /// Part keys into which blocks are split or about to be split.
     block_parts: HashMap<JobId, BTreeMap<BlockPartKey, TaskBlock>>,
-    /// Dependencies of jobs that do not fit into their records, by job and number of the key.
+    /// Dependencies of jobs that do not fit into their records, by job and number of the list.
     dependency_lists: HashMap<JobId, BTreeMap<u32, Vec<JobId>>>,
-    /// Unfinished jobs that depend on a job, by that job.
+    /// Unfinished dependents of a job, by that job.
     dependents: HashMap<JobId, BTreeSet<JobId>>,
-    /// Final states of jobs that unfinished ones depend on: kept as long as these exist.
+    /// Final states of jobs on which unfinished jobs depend. Kept as long as these unfinished jobs exist.
     finished_dependencies: HashMap<JobId, FinishedJob>,
-    /// Versions that controllers were started with, by name.
+    /// Software version of each controller at its start, by controller name.
     pub versions: BTreeMap<String, Version>,
-    /// The newer layout of stored values, once every controller of the settings reads it.
+    /// Newer layout of stored values. Set once every controller in the settings can read it.
     pub layout: Option<Version>,
-    /// Machines, as their keys, scale-out requests and termination batches together say.
+    /// Machines, as determined by their keys, scale-out requests and termination batches together.
     pub machines: BTreeMap<MachineId, MachineRecord>,
     /// Scale-out requests, by name.
     pub scale_out_requests: BTreeMap<String, ScaleOutRequest>,
     /// Termination batches, by name.
     pub termination_batches: BTreeMap<String, TerminationBatch>,
-    /// Machines that some termination batch names.
+    /// Machines in termination batches.
     terminating: HashMap<MachineId, TerminationProgress>,
-    /// State by the machine's own key, where a termination batch overrides it.
+    /// State in the machine's own key, for machines whose state a termination batch overrides.
     overridden_states: HashMap<MachineId, MachineState>,
-    /// Job counts of the controllers, by their names.
+    /// Job counts of the controllers, by controller name.
     pub counts: BTreeMap<String, Counts>,
     /// Priority boosts of the last fairness round.
     pub priority_boosts: PriorityBoosts,
     /// Totals of ended jobs for each class and team.
     pub service_levels: ServiceLevels,
-    /// Jobs that ended lately and may not be in `service_levels` yet.
+    /// Recently ended jobs that may not be included in `service_levels` yet.
     recent_job_ends: RecentJobEnds,
     /// Machine types of the cloud, by name.
     pub machine_types: BTreeMap<String, MachineType>,
-    /// Final states read lately.
+    /// Recently read final states.
     finished_jobs: FinishedJobCache,
     /// Tasks on each machine, by job and index.
     pub tasks_by_machine: BTreeMap<MachineId, BTreeMap<(JobId, u32), Placement>>,
-    /// What the tasks on each machine add up to.
+    /// Total resource usage of the tasks on each machine.
     pub usage_by_machine: HashMap<MachineId, MachineUsage>,
-    /// Lookups for decisions.
+    /// Indexes for decisions.
     indexes: Indexes,
-    /// CPUs under which `Indexes::by_free_cpus` lists each machine, in thousandths.
+    /// Free CPUs with which each machine is listed in `Indexes::by_free_cpus`, in thousandths.
     free_cpus_by_machine: HashMap<MachineId, i64>,
-    /// Machines whose key or tasks changed since this set was emptied last.
+    /// Machines whose key or tasks changed since this set was last emptied.
     pub changed_machines: HashSet<MachineId>,
-    /// Counts changes to the set of machines.
+    /// Counter of changes to the set of machines.
     pub machines_epoch: u64,
-    /// Images that each machine has probably cached.
+    /// Images that are probably cached on each machine.
     pub images: HashMap<MachineId, HashSet<String>>,
-    /// Counts changes, so that loops know when to look again.
+    /// Counter of changes, with which loops detect that they have to evaluate the state again.
     pub epoch: u64,
-    /// Cancellations in the order in which they were read: what peers ask for.
+    /// Cancellations in the order in which they were read, for requests from peers.
     cancellations: CancellationLog,
 }
 
 impl ClusterState {
-    /// Version of a key; 0 if it does not exist.
+    /// Returns the version of a key, or 0 if it does not exist.
     pub fn version(&self, key: &str) -> u64 {
         self.key_versions.version(key)
     }
 
-    /// The precondition that a key still has the version known here.
+    /// Returns the precondition that a key still has the version in this cache.
     pub fn precondition(&self, key: impl Into<String>) -> Precondition {
         let key = key.into();
         Precondition {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Whether a key is known to have been deleted, or belongs to a machine that the cloud has terminated.
+    /// Returns whether a key is known to have been deleted or belongs to a machine terminated by the cloud.
     pub fn deleted(&self, key: &str) -> bool {
         let terminated =
             |machine: &str| self.terminating.get(machine) == Some(&TerminationProgress::Terminated);
@@ -138,7 +138,8 @@
             || key.strip_prefix(keys::MACHINES).is_some_and(terminated)
     }
 
-    /// Applies a write with the key's new version. Ignored if this or a newer change of the key is known.
+    /// Applies a write with the key's new version. Ignored if this or a newer change of the key was already
+    /// applied.
     pub fn put(&mut self, key: &str, value: &Value, version: u64) {
         if self.key_versions.record_put(key, version) {
             self.epoch += 1;
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Applies a deletion at a revision. Ignored if this or a newer change of the key is known.
+    /// Applies a deletion at a revision. Ignored if this or a newer change of the key was already applied.
     pub fn delete(&mut self, key: &str, revision: u64) {
         if self.key_versions.record_delete(key, revision) {
             self.epoch += 1;
@@ -155,15 +156,17 @@
         }
     }
 
-    /// After a full read of a prefix at a revision: removes keys that it did not list and that are not newer.
+    /// Removes the keys under a prefix that a full read at a revision did not list and that are not newer
+    /// than it.
     pub fn retain_prefix(&mut self, prefix: &str, listed: &HashSet<String>, revision: u64) {
-        for key in self.key_versions.missing(prefix, listed, revision) {
-            self.key_versions.forget(&key);
+        for key in self.key_versions.unlisted_keys(prefix, listed, revision) {
+            self.key_versions.remove_version(&key);
             self.epoch += 1;
-            // The job ended somewhere between the last revision known here and the read. It is counted at
-            // the start of that gap: a leader that added it up already has done so at a later revision.
-            let gap_start = self.revision.saturating_add(1).min(revision);
-            self.record_job_end(&key, gap_start);
+            // The job ended between the last revision applied here and the revision of the read. Its end is
+            // recorded at the start of this interval: a leader that already included it in the totals has
+            // done so at a later revision.
+            let interval_start = self.revision.saturating_add(1).min(revision);
+            self.record_job_end(&key, interval_start);
             self.apply(&key, None);
         }
     }
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -1,27 +1,29 @@
-//! Names of the keys in the state service. This is the only place that knows them.
+//! Names of the keys in the state service. No other module contains key names.
 //!
-//! Everything lives under one prefix, so that one watch delivers every change.
+//! All keys are under one common prefix, so that a single watch delivers every change.
 
-/// The prefix of all keys.
+/// Common prefix of all keys.
 pub const ALL: &str = "c/";
 
 /// Prefix of job records.
 pub const JOBS: &str = "c/job/";
-/// Prefix of machines.
+/// Prefix of machine keys.
 pub const MACHINES: &str = "c/host/";
 
-/// Written once every controller of the settings reads the newer forms of values. Never deleted.
+/// Key of the newer layout of stored values. Written once every controller in the settings can read it, and
+/// never deleted.
 pub const LAYOUT: &str = "c/layout";
-/// The leader.
+/// Key of the leader.
 pub const LEADER: &str = "c/leader";
-/// Priority boosts of the last fairness round.
+/// Key of the priority boosts of the last fairness round.
 pub const PRIORITY_BOOSTS: &str = "c/raises";
-/// Totals of ended jobs for each class and team.
+/// Key of the totals of ended jobs for each class and team.
 pub const SERVICE_LEVELS: &str = "c/served";
-/// Machine types as last read from the cloud.
+/// Key of the machine types as last read from the cloud.
 pub const TYPES: &str = "c/types";
 
-/// Prefixes read at the start: all but the final states, whose number only grows; they are read one by one.
+/// Prefixes read in the initial load: all except the final states, whose number only grows. Final states are
+/// read individually.
 pub const LOADED: &[&str] = &[
     "c/block/",
     "c/charter/",
@@ -42,7 +44,7 @@
     "c/version/",
 ];
 
-/// What a key describes.
+/// Kind of the data that a key describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyKind {
     /// A controller: [`member`].
@@ -81,8 +83,8 @@
     FinishedJob,
 }
 
-/// What a key describes, and what follows its kind; `None` for keys of unknown kinds and for those whose
-/// values nobody reads ([`team`]).
+/// Splits a key into its kind and the name after the kind. Returns `None` for keys of unknown kinds and for
+/// keys whose values are never read ([`team`]).
 pub fn parse(key: &str) -> Option<(KeyKind, &str)> {
     let rest = key.strip_prefix(ALL)?;
     let (kind, name) = rest.split_once('/').unwrap_or((rest, ""));
@@ -109,72 +111,76 @@
     Some((kind, name))
 }
 
-/// Record of an unfinished job, with its first block.
+/// Returns the key of an unfinished job's record, which contains its first block.
 pub fn job(id: &str) -> String {
     format!("{JOBS}{id}")
 }
-/// One of a job's further blocks.
+/// Returns the key of a block of a job, other than the first.
 pub fn block(id: &str, block: u32) -> String {
     format!("c/block/{id}/{block}")
 }
-/// One of the keys that a block is split into, of `tasks_per_part` tasks each. They hold the block's tasks
-/// once the block's own key says so, and mean nothing before.
+/// Returns one of the keys into which a block is split, with `tasks_per_part` tasks each. Their values take
+/// effect only once the block's own key specifies this split.
 pub fn block_part(id: &str, block: u32, tasks_per_part: u32, part: u32) -> String {
     format!("c/slots/{id}/{block}/{tasks_per_part}/{part}")
 }
-/// One of the lists of a job's dependencies beyond those in its record.
+/// Returns the key of a list of a job's dependencies, in addition to those in its record.
 pub fn dependency_list(id: &str, number: u32) -> String {
     format!("c/needs/{id}/{number}")
 }
-/// Final state of a job.
+/// Returns the key of a job's final state.
 pub fn finished_job(id: &str) -> String {
     format!("c/final/{id}")
 }
-/// A machine.
+/// Returns the key of a machine.
 pub fn machine(id: &str) -> String {
     format!("{MACHINES}{id}")
 }
-/// One machine type, where all of them do not fit into one value.
+/// Returns the key of one machine type, used if all machine types do not fit into one value.
 pub fn machine_type(name: &str) -> String {
-    format!("{TYPES}/{}", sanitised(name))
+    format!("{TYPES}/{}", sanitised_name(name))
 }
-/// A scale-out request.
+/// Returns the key of a scale-out request.
 pub fn scale_out_request(name: &str) -> String {
     format!("c/charter/{name}")
 }
-/// A termination batch.
+/// Returns the key of a termination batch.
 pub fn termination_batch(name: &str) -> String {
     format!("c/leaving/{name}")
 }
-/// Job counts of a controller, from its machines' heartbeats.
+/// Returns the key of a controller's job counts, which it takes from the heartbeats of its machines.
 pub fn counts(controller: &str) -> String {
     format!("c/counts/{controller}")
 }
-/// A controller that is alive: exists as long as its lease.
+/// Returns the key of a live controller, which exists as long as the controller's lease.
 pub fn member(controller: &str) -> String {
     format!("c/member/{controller}")
 }
-/// Version that a controller was started with: says which layouts it reads.
+/// Returns the key of the version with which a controller was started, which determines the layouts that it
+/// can read.
 pub fn version(controller: &str) -> String {
     format!("c/version/{controller}")
 }
-/// A shard, with its owner and term.
+/// Returns the key of a shard, with its owner and term.
 pub fn shard(number: u32) -> String {
     format!("c/part/{number}")
 }
-/// Written with every placement of a team that has a limit, so that such placements are serialised.
+/// Returns the key that is written with every placement of a team with a limit, which serialises such
+/// placements.
 pub fn team(name: &str) -> String {
-    format!("c/team/{}", sanitised(name))
+    format!("c/team/{}", sanitised_name(name))
 }
 
-/// Most characters of a foreign name in a key: a key has at most 200 bytes, a character at most 4.
-const MAX_NAME_CHARS: usize = 40;
+/// Maximum number of characters of an external name in a key: a key has at most 200 bytes, a character at
+/// most 4.
+const MAX_EXTERNAL_NAME_CHARS: usize = 40;
 
-/// A name from the settings or the cloud, without the spaces that a key may not hold, and cut.
-fn sanitised(name: &str) -> String {
+/// Replaces whitespace, which is not allowed in keys, in a name from the settings or the cloud, and truncates
+/// it.
+fn sanitised_name(name: &str) -> String {
     name.chars()
-        .map(|letter| if letter.is_whitespace() { '_' } else { letter })
-        .take(MAX_NAME_CHARS)
+        .map(|c| if c.is_whitespace() { '_' } else { c })
+        .take(MAX_EXTERNAL_NAME_CHARS)
         .collect()
 }
 
--- a/src/store/keys/tests.rs
+++ b/src/store/keys/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the names of keys.
+//! Tests of key names.
 
 use super::*;
 
-/// Every key is read back as the kind that it was built as, with what names it.
+/// Guards against a key builder and `parse` disagreeing about the kind or the name in a key.
 #[test]
-fn keys_are_parsed_as_the_kind_that_they_were_built_as() {
+fn parse_returns_kind_and_name_of_every_built_key() {
     let keys = [
         (job("req-1"), KeyKind::Job, "req-1"),
         (block("req-1", 3), KeyKind::Block, "req-1/3"),
@@ -36,7 +36,11 @@
     for (key, kind, name) in &keys {
         assert_eq!(parse(key), Some((*kind, *name)), "{key}");
     }
-    assert_eq!(parse(&team("free")), None, "nobody reads its value");
-    assert_eq!(parse("c/later/x"), None, "of a kind of a later version");
-    assert_eq!(parse("job/req-1"), None, "under another prefix");
+    assert_eq!(parse(&team("free")), None, "team keys are never read");
+    assert_eq!(
+        parse("c/later/x"),
+        None,
+        "kind that a later version may introduce"
+    );
+    assert_eq!(parse("job/req-1"), None, "outside the common prefix");
 }
