--- a/src/store/cluster_state/apply.rs
+++ b/src/store/cluster_state/apply.rs
@@ -1,4 +1,4 @@
-//! Dispatch of one change by the kind of its key. Nothing is decided here.
+//! Dispatch of a change to the function for the kind of its key. Contains no decisions.
 
 use super::ClusterState;
 use crate::store::keys::{self, KeyKind};
@@ -8,8 +8,9 @@
 use std::collections::BTreeMap;
 
 impl ClusterState {
-    /// Applies a key's new value, or its deletion, to what the key describes. A value that cannot be decoded
-    /// counts as deleted, but for `layout`, which never goes back. Keys of unknown kinds are ignored.
+    /// Applies a key's new value, or its deletion, to the data that the key describes. A value that cannot be
+    /// decoded is treated as deleted, except for `layout`, which is never downgraded. Keys of unknown kinds
+    /// are ignored.
     pub(super) fn apply(&mut self, key: &str, value: Option<&Value>) {
         let Some((kind, name)) = keys::parse(key) else {
             return;
@@ -46,7 +47,7 @@
     }
 }
 
-/// Puts a decoded value into a map; removes the entry if there is none or it cannot be decoded.
+/// Inserts a decoded value into a map. Removes the entry if there is no value or it cannot be decoded.
 pub(super) fn put_or_remove<K: Ord, V: DeserializeOwned>(
     map: &mut BTreeMap<K, V>,
     key: K,
--- a/src/store/cluster_state/indexes.rs
+++ b/src/store/cluster_state/indexes.rs
@@ -1,4 +1,4 @@
-//! Indexes over jobs and machines: what decisions look up instead of going through all of them.
+//! Indexes over jobs and machines, which replace scans over all of them in decisions.
 
 use super::{ClusterState, Job};
 use crate::autoscaler::model::{MachineRecord, MachineState};
@@ -7,23 +7,23 @@
 use crate::wire::user::JobKind;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Lookups for decisions. Updated with every change, and equal at any time to what a pass over all jobs and
-/// machines would give; the tests compare the two after each step (`tests/common`).
+/// Indexes for decisions. Updated with every change and always equal to the result of a scan over all jobs
+/// and machines. The tests compare the two after each step (`tests/common`).
 #[derive(Default, Debug, PartialEq)]
 pub struct Indexes {
-    /// Jobs with tasks that wait, whether they may start or not.
+    /// Jobs with waiting tasks, regardless of whether these may start.
     pub waiting: BTreeSet<JobId>,
-    /// The services among them: few as a rule, and looked for in each pass of the scheduler.
+    /// Services with waiting tasks. Usually few, and looked up in each scheduling pass.
     pub services: BTreeSet<JobId>,
-    /// Jobs of which only the end is left to write.
+    /// Jobs for which only the final state remains to be written.
     pub finished: BTreeSet<JobId>,
-    /// Resources of the placed tasks of each team; teams without any are absent.
+    /// Resources of the placed tasks of each team. Teams without placed tasks are absent.
     pub teams: BTreeMap<String, Resources>,
-    /// Amounts (CPUs, GPUs, memory) that tasks with GPUs take, and how many jobs take just these.
+    /// Number of jobs for each distinct resource request (CPUs, GPUs, memory) of tasks with GPUs.
     pub gpu_task_sizes: BTreeMap<[i64; 3], u32>,
-    /// Machines that accept nothing new: draining or closing.
+    /// Machines that accept no new tasks: draining or closing.
     pub not_accepting: BTreeSet<MachineId>,
-    /// Machines by their free CPUs, in thousandths.
+    /// Machines ordered by their free CPUs, in thousandths.
     pub by_free_cpus: BTreeSet<(i64, MachineId)>,
 }
 
@@ -59,8 +59,9 @@
 }
 
 impl ClusterState {
-    /// After a change of a job's block: updates its team's usage, the machines that tasks came to or left,
-    /// and the job itself. `placed_before` is the number of its placed tasks before the change.
+    /// Updates the indexes after a change of a job's block: the usage of its team, the machines to which
+    /// tasks were added or from which they were removed, and the job itself. `placed_before` is the number of
+    /// its placed tasks before the change.
     pub(super) fn index_block_change(
         &mut self,
         id: &JobId,
@@ -128,7 +129,7 @@
     }
 }
 
-/// Makes `element` a member of `set`, or not, and copies it only if that is new.
+/// Adds `element` to `set` or removes it. Clones the element only if it is not in the set yet.
 fn set_member<T: Ord + Clone>(set: &mut BTreeSet<T>, element: &T, member: bool) {
     if !member {
         set.remove(element);
--- a/src/store/cluster_state/job_records.rs
+++ b/src/store/cluster_state/job_records.rs
@@ -1,4 +1,4 @@
-//! Application of job records: a job appears, its specification changes, it goes.
+//! Application of job records: insertion, change of the specification and removal of jobs.
 
 use super::cancellations::CancellationChange;
 use super::{ClusterState, Job};
@@ -23,7 +23,7 @@
         self.put_stored_block(&id, 0, Some(first_block));
     }
 
-    /// Sets a job's specification; its blocks stay as they are.
+    /// Sets a job's specification. Its blocks stay unchanged.
     fn put_job(&mut self, id: JobId, spec: Rc<JobSpec>) {
         let usage_differs = |job: &Job| !job.spec.weighs_as(&spec);
         if self.jobs.get(&id).is_some_and(usage_differs) {
@@ -53,12 +53,13 @@
             self.refresh_readiness(dependents.into_iter().collect());
             self.refresh_urgency(vec![id.clone()]);
         }
-        self.put_blocks_read_before(&id);
+        self.apply_pending_blocks(&id);
     }
 
-    /// Takes a job out. Block keys that still exist keep their values, in case its record comes back.
+    /// Removes a job. Block keys that still exist keep their values in case the job's record is written
+    /// again.
     fn remove_job(&mut self, id: &JobId) {
-        self.clear_blocks(id);
+        self.reset_blocks(id);
         let Some(job) = self.jobs.remove(id) else {
             return;
         };
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Applies the blocks that were read before their job's record.
-    fn put_blocks_read_before(&mut self, id: &JobId) {
+    /// Applies the blocks of a job that were read before its record.
+    fn apply_pending_blocks(&mut self, id: &JobId) {
         let blocks: Vec<(u32, StoredBlock)> = self
             .block_keys
             .get_mut(id)
@@ -85,8 +86,9 @@
         }
     }
 
-    /// Makes every block of a job fresh. The values of block keys that exist go back to `block_keys`.
-    fn clear_blocks(&mut self, id: &JobId) {
+    /// Resets every block of a job to the initial state. The values of existing block keys are moved back to
+    /// `block_keys`.
+    fn reset_blocks(&mut self, id: &JobId) {
         let block_count = self.jobs.get(id).map_or(0, |job| job.blocks.len() as u32);
         for block in 0..block_count {
             let stored = self.stored_block(id, block);
@@ -97,7 +99,7 @@
         }
     }
 
-    /// A block of a known job as its key holds it; `None` if it has no key.
+    /// Returns a block of a known job in the form stored under its key, or `None` if it has no key.
     fn stored_block(&self, id: &JobId, block: u32) -> Option<StoredBlock> {
         if !self.block_keys.get(id)?.contains_key(&block) {
             return None;
--- a/src/store/cluster_state/queries.rs
+++ b/src/store/cluster_state/queries.rs
@@ -1,4 +1,4 @@
-//! Queries over jobs, machines and keys that no other file of the cluster state answers.
+//! Read-only queries over jobs, machines and keys that are not specific to another file of the cluster state.
 
 use super::{BlockPartKey, ClusterState, Indexes, Job};
 use crate::ids::MachineId;
@@ -7,12 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl ClusterState {
-    /// Jobs with tasks that wait, whether they may start or not.
+    /// Returns the jobs with waiting tasks, regardless of whether these may start.
     pub fn waiting(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.jobs_of(&self.indexes.waiting)
     }
 
-    /// The services among them.
+    /// Returns the services with waiting tasks.
     pub fn waiting_services(&self) -> impl Iterator<Item = (&JobId, &Job)> {
         self.jobs_of(&self.indexes.services)
     }
@@ -24,17 +24,17 @@
         ids.iter().filter_map(|id| Some((id, self.jobs.get(id)?)))
     }
 
-    /// CPUs that are free on a machine, in thousandths; `None` if the machine or its type is not known.
+    /// Returns the free CPUs of a machine in thousandths, or `None` if the machine or its type is not known.
     pub fn free_cpus(&self, id: &MachineId) -> Option<i64> {
         self.free_cpus_by_machine.get(id).copied()
     }
 
-    /// The indexes.
+    /// Returns the indexes.
     pub fn indexes(&self) -> &Indexes {
         &self.indexes
     }
 
-    /// What the tasks on a machine add up to.
+    /// Returns the total resource usage of the tasks on a machine.
     pub fn usage(&self, machine: &MachineId) -> MachineUsage {
         self.usage_by_machine
             .get(machine)
@@ -42,14 +42,15 @@
             .unwrap_or_default()
     }
 
-    /// Tasks of unfinished jobs on a machine, by job and index: a finished job has none on any.
+    /// Returns the tasks of unfinished jobs on a machine, by job and index. Finished jobs have no tasks on
+    /// machines.
     pub fn tasks_on(&self, machine: &str) -> Option<&BTreeMap<(JobId, u32), Placement>> {
         self.tasks_by_machine
             .get(machine)
             .filter(|tasks| !tasks.is_empty())
     }
 
-    /// Block, part and dependency keys that belong to no job, each with the id in it.
+    /// Returns the block, part and dependency keys without a job record, each with the job id in the key.
     pub fn orphaned_keys(&self) -> Vec<(JobId, String)> {
         let orphaned = |id: &JobId| !self.jobs.contains_key(id);
         let mut found: Vec<(JobId, String)> = Vec::new();
@@ -65,7 +66,7 @@
         found
     }
 
-    /// Block, part and dependency keys of a job: all its keys besides its record.
+    /// Returns the block, part and dependency keys of a job: all its keys except its record.
     pub fn secondary_keys(&self, id: &str) -> Vec<String> {
         let mut found: Vec<String> = Vec::new();
         if let Some(blocks) = self.block_keys.get(id) {
--- a/src/store/cluster_state/task_blocks.rs
+++ b/src/store/cluster_state/task_blocks.rs
@@ -1,5 +1,5 @@
-//! Application of task blocks: block keys, the part keys that a block may be split into, and the counters
-//! and maps that follow each task that changed.
+//! Application of task blocks: block keys, the part keys into which a block may be split, and the counters
+//! and maps that are updated for each changed task.
 
 use super::{ClusterState, Job};
 use crate::ids::MachineId;
@@ -11,7 +11,7 @@
 use foldhash::{HashMap, HashSet};
 use std::collections::BTreeMap;
 
-/// One of the keys that a block is split into. Ordered by block, tasks in each part, number of the part.
+/// One of the keys into which a block is split. Ordered by block, number of tasks per part and part number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct BlockPartKey {
     pub(super) block: u32,
@@ -20,7 +20,7 @@
 }
 
 impl BlockPartKey {
-    /// Reads `job/block/tasks per part/part`. What follows further slashes is ignored.
+    /// Parses `job/block/tasks per part/part`. Any further fields are ignored.
     fn parse(name: &str) -> Option<(&str, BlockPartKey)> {
         let mut fields = name.split('/');
         let job = fields.next()?;
@@ -32,18 +32,18 @@
         Some((job, key))
     }
 
-    /// Writes the tasks of this part over their place in the block.
+    /// Overwrites the tasks of this part in the block.
     fn overlay(&self, block: &mut TaskBlock, part: &TaskBlock) {
         let tasks_per_part = self.tasks_per_part as usize;
         let start = tasks_per_part.saturating_mul(self.part as usize);
-        let places = block.0.iter_mut().skip(start);
-        for (place, state) in places.zip(part.0.iter().take(tasks_per_part)) {
-            place.clone_from(state);
+        let target_states = block.0.iter_mut().skip(start);
+        for (target, state) in target_states.zip(part.0.iter().take(tasks_per_part)) {
+            target.clone_from(state);
         }
     }
 }
 
-/// Where tasks are: the maps of `ClusterState` that follow each placement.
+/// Locations of tasks: the maps of `ClusterState` that are updated for each placement.
 struct TaskLocations<'a> {
     tasks_by_machine: &'a mut BTreeMap<MachineId, BTreeMap<(JobId, u32), Placement>>,
     usage_by_machine: &'a mut HashMap<MachineId, MachineUsage>,
@@ -109,7 +109,8 @@
         self.put_stored_block(&id, block, stored);
     }
 
-    /// A part key was written or deleted. It counts once the block's own key says that the block is split so.
+    /// Applies a write or deletion of a part key. The part takes effect once the block's own key specifies
+    /// this split.
     pub(super) fn apply_block_part(&mut self, name: &str, value: Option<&Value>) {
         let Some((id, key)) = BlockPartKey::parse(name) else {
             return;
@@ -128,15 +129,15 @@
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        let in_use = job.tasks_per_part.get(key.block as usize) == Some(&key.tasks_per_part);
-        if key.tasks_per_part > 0 && in_use {
+        let in_effect = job.tasks_per_part.get(key.block as usize) == Some(&key.tasks_per_part);
+        if key.tasks_per_part > 0 && in_effect {
             let mut block = job.blocks[key.block as usize].clone();
             key.overlay(&mut block, &part);
             self.put_block(&id, key.block, Some(block));
         }
     }
 
-    /// What a part key holds, whether it counts already or not.
+    /// Returns the value of a part key, regardless of whether it is in effect yet.
     pub fn block_part(
         &self,
         id: &str,
@@ -151,7 +152,7 @@
         })
     }
 
-    /// Sets a job's block to what its key holds; `None` makes it fresh.
+    /// Sets a job's block to the value of its key. `None` resets it to the initial state.
     pub(super) fn put_stored_block(&mut self, id: &JobId, block: u32, stored: Option<StoredBlock>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -159,50 +160,51 @@
         let Some(tasks_per_part) = job.tasks_per_part.get_mut(block as usize) else {
             return;
         };
-        let (split_into, tasks) = match stored {
+        let (new_tasks_per_part, tasks) = match stored {
             None => (0, None),
             Some(StoredBlock::Plain(tasks) | StoredBlock::Packed(tasks)) => {
                 (0, (!tasks.0.is_empty()).then_some(tasks))
             }
-            Some(StoredBlock::Split(split_into)) => {
+            Some(StoredBlock::Split(new_tasks_per_part)) => {
                 let mut tasks = job.blocks[block as usize].clone();
                 for (key, part) in self.block_parts.get(id).into_iter().flatten() {
-                    if (key.block, key.tasks_per_part) == (block, split_into) {
+                    if (key.block, key.tasks_per_part) == (block, new_tasks_per_part) {
                         key.overlay(&mut tasks, part);
                     }
                 }
-                (split_into, Some(tasks))
+                (new_tasks_per_part, Some(tasks))
             }
         };
-        *tasks_per_part = split_into;
+        *tasks_per_part = new_tasks_per_part;
         self.put_block(id, block, tasks);
     }
 
-    /// Sets a job's block, `None` for a fresh one, and follows the tasks whose states differ. The cost is one
-    /// comparison a task of the block, and the updates of the tasks that differ.
+    /// Sets a job's block (`None` resets it to the initial state) and updates the counters and maps for the
+    /// tasks whose states differ. The cost is one comparison per task of the block plus the updates of the
+    /// differing tasks.
     pub(super) fn put_block(&mut self, id: &JobId, block: u32, tasks: Option<TaskBlock>) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let task_count = job.spec.task_count;
-        let Some(place) = job.blocks.get_mut(block as usize) else {
+        let Some(current) = job.blocks.get_mut(block as usize) else {
             return;
         };
-        let old = std::mem::replace(place, tasks.unwrap_or_else(|| fresh(task_count, block)));
+        let old = std::mem::replace(current, tasks.unwrap_or_else(|| fresh(task_count, block)));
         let placed_before = job.placed;
         let mut locations = TaskLocations {
             tasks_by_machine: &mut self.tasks_by_machine,
             usage_by_machine: &mut self.usage_by_machine,
             images: &mut self.images,
         };
-        let machines = follow_block_change(id, job, block, &old, &mut locations);
+        let machines = update_for_block_change(id, job, block, &old, &mut locations);
         self.index_block_change(id, placed_before, machines);
     }
 }
 
-/// Brings a job's counters and the locations of its tasks in step with a block that was just replaced.
-/// Returns the machines that tasks left or came to, in any order and with repetitions.
-fn follow_block_change(
+/// Updates a job's counters and the locations of its tasks after a block was replaced. Returns the machines
+/// from which tasks were removed or to which tasks were added, unordered and possibly with duplicates.
+fn update_for_block_change(
     id: &JobId,
     job: &mut Job,
     block: u32,
@@ -212,12 +214,12 @@
     let new = &job.blocks[block as usize];
     let mut machines: Vec<MachineId> = Vec::new();
     for position in 0..old.0.len().max(new.0.len()) {
-        let (was, is) = (old.0.get(position), new.0.get(position));
-        if was == is {
+        let (old_state, new_state) = (old.0.get(position), new.0.get(position));
+        if old_state == new_state {
             continue;
         }
         let index = block * BLOCK + position as u32;
-        match was {
+        match old_state {
             Some(TaskState::Waiting(_)) => job.waiting -= 1,
             Some(TaskState::Done) => job.done -= 1,
             Some(TaskState::Placed(placement)) => {
@@ -227,7 +229,7 @@
             }
             None => {}
         }
-        match is {
+        match new_state {
             Some(TaskState::Waiting(_)) => job.waiting += 1,
             Some(TaskState::Done) => job.done += 1,
             Some(TaskState::Placed(placement)) => {
