--- a/src/store/cluster_state/cancellations.rs
+++ b/src/store/cluster_state/cancellations.rs
@@ -1,20 +1,20 @@
-//! Cancellations in the order in which they were read, for the digests that peers ask for
-//! (`membership::cancellation_watermark`), and cancellations that such digests report.
+//! Cancellations in the order in which they were read, for the digests that peers request
+//! (`membership::cancellation_watermark`), and cancellations received in such digests.
 
 use super::ClusterState;
 use crate::ids::MachineId;
 use crate::jobs::model::JobId;
 use std::collections::BTreeSet;
 
-/// Cancellations kept. A peer asks for those after the revision that it has read itself, which is as old as
-/// its outage; if older ones were dropped, the digest is not complete and says so.
+/// Number of cancellations kept. A peer requests those after the revision that it has read itself, which is
+/// as old as its outage. If older ones were dropped, the digest is marked as incomplete.
 const MAX_CANCELLATIONS: usize = 20_000;
 
-/// The latest cancellations, by the revision at which the job's record was seen to say so.
+/// The latest cancellations, ordered by the revision at which the job's record was read as cancelled.
 #[derive(Default)]
 pub(super) struct CancellationLog {
     entries: BTreeSet<(u64, JobId)>,
-    /// Entries up to this revision may have been dropped.
+    /// Revision up to which entries may have been dropped.
     dropped_up_to: u64,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// Whether a change of a job's record, or a report about it, changed whether it is cancelled.
+/// Effect of a change of a job's record, or of a peer's report, on whether the job is cancelled.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CancellationChange {
     Unchanged,
@@ -42,15 +42,17 @@
 }
 
 impl ClusterState {
-    /// Every cancellation after a revision that is known here, with a revision at which it stood, in that
-    /// order; `None` if some were dropped. Jobs that were over when the state was loaded are not in it:
-    /// none of their tasks was on a machine whose worker still obeys an older owner.
+    /// Returns all known cancellations after a revision, each with a revision at which it was in effect,
+    /// ordered by that revision. Returns `None` if some were dropped. Jobs that had already finished when the
+    /// state was loaded are not included: none of their tasks was on a machine whose worker still accepts
+    /// commands from an older owner.
     pub fn cancelled_after(&self, revision: u64) -> Option<impl Iterator<Item = &(u64, JobId)>> {
         self.cancellations.after(revision)
     }
 
-    /// A peer reports that a job was cancelled in the state service by a revision: its tasks have to stop
-    /// although its record here does not say so yet. A job that is not known has no task on our machines.
+    /// Applies a peer's report that a job was cancelled in the state service at or before a revision. The
+    /// job's tasks have to stop although its record in this cache is not cancelled yet. A job that is not
+    /// known here has no task on the machines of this controller.
     pub fn merge_cancelled(&mut self, id: &str, revision: u64) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.cancelled()) else {
             return;
@@ -58,13 +60,14 @@
         job.cancelled_by_digest = true;
         self.epoch += 1;
         let id: JobId = id.into();
-        // From here on this controller may confirm it to users, so its own digests have to name it.
+        // From now on this controller may confirm the cancellation to users, so its own digests must contain
+        // it.
         self.cancellations.record(&id, revision);
         self.refresh_after_record_change(&id, CancellationChange::Changed);
     }
 
-    /// After a job's record changed or its cancellation was reported: marks its machines as changed and,
-    /// if its cancellation changed, refreshes the jobs around it in its pipeline.
+    /// Marks the machines of a job as changed after its record changed or its cancellation was reported. If
+    /// its cancellation changed, also refreshes its dependents and dependencies in the pipeline.
     pub(super) fn refresh_after_record_change(&mut self, id: &JobId, change: CancellationChange) {
         let Some(job) = self.jobs.get(id) else { return };
         let machines: Vec<MachineId> = job
--- a/src/store/cluster_state/dependencies.rs
+++ b/src/store/cluster_state/dependencies.rs
@@ -1,5 +1,6 @@
-//! Pipelines: dependencies between jobs, and what follows from them for each job: whether it may start, is
-//! cancelled with a dependency, and how urgent its dependents make it.
+//! Pipelines: dependencies between jobs, and the properties derived from them for each job: whether it may
+//! start, whether it is cancelled with a dependency, and the priority and deadline inherited from its
+//! dependents.
 
 use super::{ClusterState, Job, job};
 use crate::jobs::model::{JobId, JobIdList};
@@ -10,18 +11,18 @@
 use foldhash::{HashSet, HashSetExt};
 use std::collections::BTreeMap;
 
-/// What one step of a pipeline takes beyond its run time: its end is reported and written, the next step is
-/// placed, commanded and fetches its image.
-const STEP_OVERHEAD: Micros = 4 * SECOND;
+/// Time that one step of a pipeline takes in addition to its run time: its end is reported and written, then
+/// the next step is placed, its start command is sent and its image is fetched.
+const PIPELINE_STEP_OVERHEAD: Micros = 4 * SECOND;
 
-/// What a job's dependencies say of it.
+/// Properties of a job that are derived from its dependencies.
 struct Readiness {
     ready: bool,
     dependency_cancelled: bool,
     waiting_since: Micros,
 }
 
-/// How urgent a job is, by itself and by its dependents.
+/// Priority and deadline of a job, including those inherited from its dependents.
 struct Urgency {
     priority: Priority,
     deadline_at: Option<Micros>,
@@ -52,7 +53,8 @@
         self.link_dependencies(&id);
     }
 
-    /// Enters a job's dependencies, those of its record and of its lists, once its record is known.
+    /// Links a job to its dependencies, from its record and from its dependency lists, once its record is
+    /// known.
     pub(super) fn link_dependencies(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -86,7 +88,7 @@
         self.refresh_urgency(vec![id.clone()]);
     }
 
-    /// Takes a job out of the dependents of its dependencies.
+    /// Removes a job from the dependents of its dependencies.
     pub(super) fn unlink_dependencies(&mut self, id: &JobId, dependencies: &[JobId]) {
         for dependency in dependencies {
             if let Some(dependents) = self.dependents.get_mut(dependency) {
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Works out again whether jobs may start and whether they are cancelled with a dependency. A
-    /// cancellation reaches every job downstream at once, without a write in between.
+    /// Recomputes whether jobs may start and whether they are cancelled with a dependency. A cancellation
+    /// propagates to all jobs downstream immediately, without an intermediate write.
     pub(super) fn refresh_readiness(&mut self, mut pending: Vec<JobId>) {
         while let Some(id) = pending.pop() {
             let Some(job) = self.jobs.get(&id) else {
@@ -123,8 +125,8 @@
 
     fn readiness(&self, id: &JobId, job: &Job) -> Readiness {
         let lists_read = self.dependency_lists.get(id).map_or(0, BTreeMap::len);
-        let mut all_done = lists_read >= job.spec.dependencies.keys as usize;
-        let mut any_cancelled = false;
+        let mut all_dependencies_done = lists_read >= job.spec.dependencies.keys as usize;
+        let mut any_dependency_cancelled = false;
         let mut waiting_since = job.spec.submitted_at;
         for dependency in &job.dependencies {
             let finished = self.finished_dependencies.get(dependency);
@@ -132,22 +134,22 @@
                 (Some(finished), _) if !finished.cancelled => {
                     waiting_since = waiting_since.max(finished.finished_at);
                 }
-                (Some(_), _) => any_cancelled = true,
+                (Some(_), _) => any_dependency_cancelled = true,
                 (None, Some(unfinished)) => {
-                    all_done = false;
-                    any_cancelled |= unfinished.cancelled();
+                    all_dependencies_done = false;
+                    any_dependency_cancelled |= unfinished.cancelled();
                 }
-                (None, None) => all_done = false,
+                (None, None) => all_dependencies_done = false,
             }
         }
         Readiness {
-            ready: all_done && !any_cancelled,
-            dependency_cancelled: any_cancelled,
+            ready: all_dependencies_done && !any_dependency_cancelled,
+            dependency_cancelled: any_dependency_cancelled,
             waiting_since,
         }
     }
 
-    /// Works out again which priority and deadline jobs inherit from their dependents.
+    /// Recomputes the priority and deadline that jobs inherit from their dependents.
     pub(super) fn refresh_urgency(&mut self, mut pending: Vec<JobId>) {
         while let Some(id) = pending.pop() {
             let Some(job) = self.jobs.get(&id) else {
@@ -166,8 +168,8 @@
         }
     }
 
-    /// The highest priority and the earliest deadline among the job's own and those of its dependents, whose
-    /// deadlines count less the time that the dependents themselves take.
+    /// Returns the highest priority and the earliest deadline among the job's own and those of its
+    /// dependents. The time that a dependent itself takes is subtracted from its deadline.
     fn urgency(&self, id: &JobId, job: &Job) -> Urgency {
         let mut urgency = Urgency {
             priority: job.spec.priority,
@@ -182,12 +184,12 @@
             let step_time = dependent
                 .spec
                 .estimated_run_time
-                .saturating_add(STEP_OVERHEAD);
+                .saturating_add(PIPELINE_STEP_OVERHEAD);
             let latest_end = dependent
                 .deadline_at
                 .map(|deadline| deadline.saturating_sub(step_time));
-            let earlier = |end: Micros| urgency.deadline_at.is_none_or(|known| end < known);
-            if latest_end.is_some_and(earlier) {
+            let is_earlier = |end: Micros| urgency.deadline_at.is_none_or(|known| end < known);
+            if latest_end.is_some_and(is_earlier) {
                 urgency.deadline_at = latest_end;
                 urgency.deadline_after_submission = dependent.deadline_after_submission;
             }
@@ -195,8 +197,8 @@
         urgency
     }
 
-    /// Jobs that a job depends on, directly or through others, of which nothing is known: neither among the
-    /// unfinished ones nor how they ended. Until it is, nothing can be said of this job.
+    /// Returns the direct and transitive dependencies of a job that are unknown: neither unfinished jobs nor
+    /// jobs with a known final state. Until they are known, the state of this job cannot be determined.
     pub fn unknown_ancestors(&self, id: &str) -> Vec<JobId> {
         let mut unknown = Vec::new();
         let mut seen: HashSet<&str> = HashSet::new();
@@ -217,7 +219,7 @@
         unknown
     }
 
-    /// Direct dependencies of all unfinished jobs of which nothing is known.
+    /// Returns the unknown direct dependencies of all unfinished jobs.
     pub fn unknown_dependencies(&self) -> Vec<JobId> {
         let known =
             |id: &JobId| self.finished_dependencies.contains_key(id) || self.jobs.contains_key(id);
@@ -228,30 +230,30 @@
             .collect()
     }
 
-    /// Number of tasks that may start now, or, if all that the job still waits for are jobs whose tasks all
-    /// run, within about the time that a machine takes to boot.
+    /// Returns the number of tasks that may start now, or, if all tasks of all unfinished dependencies are
+    /// running, within about the time that a machine takes to boot.
     pub fn queued_or_blocked(&self, job: &Job) -> u32 {
         if job.ready || job.cancelled() {
             return job.queued();
         }
-        let all_running = |job: &Job| job.ready && job.waiting == 0 && job.placed > 0;
-        let ends_soon = |id: &JobId| {
+        let all_tasks_running = |job: &Job| job.ready && job.waiting == 0 && job.placed > 0;
+        let finished_or_running = |id: &JobId| {
             self.finished_dependencies.contains_key(id)
-                || self.jobs.get(id).is_some_and(all_running)
+                || self.jobs.get(id).is_some_and(all_tasks_running)
         };
-        if job.dependencies.iter().all(ends_soon) {
+        if job.dependencies.iter().all(finished_or_running) {
             job.waiting
         } else {
             0
         }
     }
 
-    /// What one of a job's dependency lists holds, those that do not fit into its record.
+    /// Returns one of a job's dependency lists, which hold the dependencies that do not fit into its record.
     pub fn dependency_list(&self, id: &str, number: u32) -> Option<&Vec<JobId>> {
         self.dependency_lists.get(id)?.get(&number)
     }
 
-    /// Whether unfinished jobs depend on a job.
+    /// Returns whether unfinished jobs depend on a job.
     pub fn has_dependents(&self, id: &str) -> bool {
         self.dependents.contains_key(id)
     }
--- a/src/store/cluster_state/machines.rs
+++ b/src/store/cluster_state/machines.rs
@@ -1,5 +1,5 @@
-//! Application of machines: their own keys, scale-out requests that stand for machines without a key yet,
-//! termination batches that override the machines' own states, and machine types.
+//! Application of machine changes: machine keys, scale-out requests that represent machines without a key
+//! yet, termination batches that override the states in the machine keys, and machine types.
 
 use super::ClusterState;
 use super::apply::put_or_remove;
@@ -10,10 +10,10 @@
 use crate::wire::from_value;
 use ciborium::Value;
 
-/// How far the termination of a machine that a batch names has come.
+/// Progress of the termination of a machine in a termination batch.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum TerminationProgress {
-    /// Being returned to the cloud.
+    /// The machine is being returned to the cloud.
     Requested,
     /// The cloud confirmed that the machine is gone.
     Terminated,
@@ -28,11 +28,12 @@
         self.changed_machines.insert(id.clone());
         let existed = self.machines.contains_key(&id);
         put_or_remove(&mut self.machines, id.clone(), value);
-        self.override_terminating(&id);
+        self.apply_termination_override(&id);
         self.machines_epoch += u64::from(existed != self.machines.contains_key(&id));
     }
 
-    /// Machine types come all in one value, or each in one of its own where that would be too large.
+    /// Applies machine types, which are stored all in one value, or one per key if that value would be too
+    /// large.
     pub(super) fn apply_machine_types(&mut self, name: &str, value: Option<&Value>) {
         if !name.is_empty() {
             if let Some(machine_type) = value.and_then(from_value::<MachineType>) {
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Machines that a scale-out request names and that have no key yet are derived from it: one write makes
-    /// many machines known. Once written, a machine's own key replaces that.
+    /// Derives the machines of a scale-out request that have no key yet from the request, so that a single
+    /// write publishes many machines. Once written, a machine's own key replaces the derived record.
     pub(super) fn apply_scale_out_request(&mut self, name: &str, value: Option<&Value>) {
         let old_machines = self
             .scale_out_requests
@@ -76,7 +77,7 @@
                 self.machines
                     .entry(id.clone())
                     .or_insert_with(|| derived.clone());
-                self.override_terminating(&id);
+                self.apply_termination_override(&id);
                 self.machines_epoch += 1;
             }
         }
@@ -92,8 +93,10 @@
     }
 
     pub(super) fn apply_termination_batch(&mut self, name: &str, value: Option<&Value>) {
-        let old = self.termination_batches.get(name);
-        let old_machines = old.map(|batch| batch.machines.clone()).unwrap_or_default();
+        let old_batch = self.termination_batches.get(name);
+        let old_machines = old_batch
+            .map(|batch| batch.machines.clone())
+            .unwrap_or_default();
         put_or_remove(&mut self.termination_batches, name.to_string(), value);
         let batch = self
             .termination_batches
@@ -114,15 +117,17 @@
         for id in batch.machines {
             self.terminating.insert(id.clone(), progress);
             self.changed_machines.insert(id.clone());
-            self.override_terminating(&id);
+            self.apply_termination_override(&id);
         }
         self.machines_epoch += u64::from(machine_count != self.machines.len());
     }
 
-    /// A batch no longer names a machine: it is not returned after all, or it is gone and its key deleted.
+    /// Ends the termination of a machine that is no longer in a batch: either the machine is not returned
+    /// after all, or it is terminated and its key deleted.
     fn end_termination(&mut self, id: &MachineId) {
         if self.terminating.remove(id) == Some(TerminationProgress::Terminated) {
-            // The cloud's list lags and may show it for a while, so that somebody writes its key again.
+            // The cloud's machine list lags and may still contain the machine for a while, so that a
+            // controller writes its key again. The tombstone makes such writes ineffective.
             self.key_versions.set_tombstone(keys::machine(id), u64::MAX);
         }
         if let Some(own_state) = self.overridden_states.remove(id)
@@ -133,9 +138,10 @@
         }
     }
 
-    /// A machine that a termination batch names is returning whatever its own key says, and one that is
-    /// terminated does not come back by a write that was made before its owner read of it.
-    fn override_terminating(&mut self, id: &MachineId) {
+    /// Overrides the state of a machine in a termination batch: it is `Returning` regardless of its own key,
+    /// and a terminated machine is not added again by a write that its owner made before reading of the
+    /// termination.
+    fn apply_termination_override(&mut self, id: &MachineId) {
         match self.terminating.get(id) {
             Some(TerminationProgress::Terminated) => {
                 self.machines.remove(id);
@@ -155,7 +161,7 @@
         self.index_machine(id);
     }
 
-    /// Whether a termination batch names a machine.
+    /// Returns whether a machine is in a termination batch.
     pub fn is_terminating(&self, id: &str) -> bool {
         self.terminating.contains_key(id)
     }
