--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -1,9 +1,10 @@
-//! Watch cache: keeps the cluster state in step with the state service and says how current it is.
+//! Watch cache: keeps the cluster state synchronised with the state service and reports how current it is.
 //!
-//! [`WatchCache`] owns the one [`ClusterState`] of the process and is the only one to change it: from the
-//! initial load (`initial_load`), the watch (here), linearizable reads (`linearizable_read`), final states
-//! read one by one (`final_states`), this controller's own transactions and peers' cancellation digests.
-//! The controller starts its three loops: `watch_loop`, `linearizable_read_loop`, `dependency_lookup_loop`.
+//! [`WatchCache`] owns the only [`ClusterState`] of the process, and no other code changes it. Changes come
+//! from the initial load (`initial_load`), the watch (this file), linearizable reads (`linearizable_read`),
+//! final states read individually (`final_states`), this controller's own transactions and peers'
+//! cancellation digests. The controller starts the three loops `watch_loop`, `linearizable_read_loop` and
+//! `dependency_lookup_loop`.
 
 mod change_notifier;
 mod final_states;
@@ -25,50 +26,52 @@
 use foldhash::HashSet;
 use std::cell::{Cell, Ref, RefCell};
 
-/// Pause between two reads of the watch: otherwise every write would cost each controller a request.
+/// Pause between two watch requests. Without it, every write would cost each controller one request.
 const WATCH_PAUSE: Micros = 40 * MILLI;
-/// How long a watch waits for changes before it answers that there are none.
-const WATCH_WAIT: Micros = SECOND;
-/// While linearizable reads follow each other within this time, they deliver every change: with a watch
-/// beside them each change would be sent and read twice.
-const READS_REPLACE_WATCH_WITHIN: Micros = 80 * MILLI;
-/// How often to look whether the linearizable reads have stopped.
-const REPLACED_WATCH_PAUSE: Micros = WATCH_PAUSE / 2;
-/// Age that a watch's answer is taken to have when it arrives. An estimate: it counts for `current` only, and
-/// never for `complete_up_to`.
-const WATCH_ANSWER_AGE: Micros = SECOND / 2;
-/// Without a read for so long this controller counts as cut off from the state service.
+/// Time that a watch waits for changes before it returns an empty response.
+const WATCH_WAIT_TIME: Micros = SECOND;
+/// Time since the last linearizable read during which the watch is suspended. Frequent linearizable reads
+/// deliver every change, so that a concurrent watch would transfer each change twice.
+const WATCH_SUSPENSION_TIME: Micros = 80 * MILLI;
+/// Interval at which a suspended watch checks whether the linearizable reads have stopped.
+const SUSPENDED_WATCH_POLL_INTERVAL: Micros = WATCH_PAUSE / 2;
+/// Estimated age of a watch response on arrival. Used only for `current`, never for `complete_up_to`.
+const ESTIMATED_WATCH_RESPONSE_AGE: Micros = SECOND / 2;
+/// Time without a successful read after which this controller is considered disconnected from the state
+/// service.
 const MAX_STALENESS: Micros = 3 * SECOND;
-/// Pauses before the initial load or the watch is tried again.
+/// Pause before the initial load is retried.
 const LOAD_RETRY_PAUSE: Micros = SECOND / 3;
+/// Pause before a failed watch is retried.
 const WATCH_RETRY_PAUSE: Micros = SECOND / 4;
-/// Status of a watch from a revision that the service's log no longer reaches: the state is loaded anew.
-const LOG_COMPACTED: u16 = 410;
+/// HTTP status of a watch from a revision that was compacted from the service's log. The state is then loaded
+/// again.
+const LOG_COMPACTED_STATUS: u16 = 410;
 
-/// The cluster state, and what keeps it current.
+/// The cluster state and the means to keep it current.
 pub struct WatchCache {
     clock: Clock,
     client: StoreClient,
     state: RefCell<ClusterState>,
-    /// Whether the state holds everything up to some revision after the start.
+    /// Whether the state contains all changes up to some revision after the start.
     loaded: Cell<bool>,
-    /// A moment at which the state was known to be current.
+    /// Time at which the state was known to be current.
     current_at: Cell<Micros>,
-    /// When the read began that showed so: whatever was committed by then is in the state.
+    /// Start time of the latest successful read: everything committed before it is in the state.
     complete_up_to: Cell<Micros>,
-    /// When a linearizable read was answered last.
+    /// Time of the last linearizable read's response.
     linearizable_read_at: Cell<Micros>,
     notifier: ChangeNotifier,
-    /// Callers that wait for a linearizable read, each by the channel on which it gets the result.
+    /// Queue of callers that wait for a linearizable read, each represented by the channel for its result.
     read_requests: async_channel::Sender<async_channel::Sender<bool>>,
     read_request_queue: async_channel::Receiver<async_channel::Sender<bool>>,
 }
 
-/// Times of one read of the log, by the local clock.
+/// Times of one read of the log, according to the local clock.
 struct ReadTimes {
-    /// When the request was sent.
-    begun: Micros,
-    /// A moment before the answer left the service, or an estimate of it.
+    /// Time at which the request was sent.
+    sent_at: Micros,
+    /// Time at or before which the service sent the response, or an estimate of it.
     current_at: Micros,
 }
 
@@ -77,7 +80,7 @@
 }
 
 impl WatchCache {
-    /// A cache that has read nothing yet.
+    /// Creates an empty cache.
     pub fn new(client: StoreClient, clock: Clock) -> WatchCache {
         let (read_requests, read_request_queue) = async_channel::unbounded();
         WatchCache {
@@ -94,49 +97,50 @@
         }
     }
 
-    /// The cluster state as it is now. Not to be held over an await.
+    /// Borrows the current cluster state. The borrow must not be held across an await.
     pub fn view(&self) -> Ref<'_, ClusterState> {
         self.state.borrow()
     }
 
-    /// Machines whose key or tasks changed since this was called last.
+    /// Returns the machines whose key or tasks changed since the last call.
     pub fn take_changed_machines(&self) -> HashSet<MachineId> {
         std::mem::take(&mut self.state.borrow_mut().changed_machines)
     }
 
-    /// The client, for leases and budgets.
+    /// Returns the client, for leases and budgets.
     pub fn client(&self) -> &StoreClient {
         &self.client
     }
 
-    /// Notified when the state changes.
+    /// Returns the notifier that is triggered when the state changes.
     pub fn notifier(&self) -> &ChangeNotifier {
         &self.notifier
     }
 
-    /// Whether the state holds everything up to some revision after the start.
+    /// Returns whether the state contains all changes up to some revision after the start.
     pub fn loaded(&self) -> bool {
         self.loaded.get()
     }
 
-    /// Whether the state was known to be current a moment ago.
+    /// Returns whether the state was known to be current within the last `MAX_STALENESS`.
     pub fn current(&self) -> bool {
         self.clock.now().saturating_sub(self.current_at.get()) < MAX_STALENESS
     }
 
-    /// Up to when, by the local clock, everything that was committed is surely in the state. An answer may
-    /// have waited in a socket while this process stood still, so it counts from when its request began.
+    /// Returns the time, according to the local clock, before which every committed change is guaranteed to
+    /// be in the state. This is the start of a request and not the arrival of its response, because a
+    /// response may have waited in a socket while this process was paused.
     pub fn complete_up_to(&self) -> Micros {
         self.complete_up_to.get()
     }
 
-    /// Whether the state was loaded at any time since the start. It is loaded again when the service's log
-    /// does not reach back far enough; what it held stays in it meanwhile.
+    /// Returns whether the state was loaded at any time since the start. It is loaded again when the required
+    /// part of the service's log was compacted, and keeps its previous contents until then.
     pub fn was_loaded(&self) -> bool {
         self.complete_up_to.get() > 0
     }
 
-    /// Runs a transaction; what it wrote is in the state before the watch delivers it.
+    /// Executes a transaction. Its writes are applied to the state before the watch delivers them.
     pub async fn transaction(&self, transaction: &Transaction) -> TransactionOutcome {
         let outcome = self.client.transaction(transaction).await;
         if let TransactionOutcome::Done(revision) = outcome {
@@ -157,7 +161,8 @@
         self.notifier.notify();
     }
 
-    /// Applies cancellations that a peer's digest reports, as job and revision, ahead of the watch.
+    /// Applies cancellations from a peer's digest, as pairs of job and revision, before the watch delivers
+    /// them.
     pub fn merge_cancelled(&self, cancelled: &[(String, u64)]) {
         self.change_state(|state| {
             for (id, revision) in cancelled {
@@ -166,7 +171,7 @@
         });
     }
 
-    /// Applies a part of the service's log that was read in these times.
+    /// Applies a part of the service's log that was read at the given times.
     fn apply_log(&self, log: &WatchResponse, times: &ReadTimes) {
         self.change_state(|state| {
             for event in &log.events {
@@ -183,11 +188,11 @@
             self.current_at
                 .set(self.current_at.get().max(times.current_at));
             self.complete_up_to
-                .set(self.complete_up_to.get().max(times.begun));
+                .set(self.complete_up_to.get().max(times.sent_at));
         });
     }
 
-    /// Changes the state, and notifies if that changed anything.
+    /// Applies a change to the state and sends a notification if the state has changed.
     fn change_state(&self, change: impl FnOnce(&mut ClusterState)) {
         let mut state = self.state.borrow_mut();
         let epoch_before = state.epoch;
@@ -199,31 +204,31 @@
         }
     }
 
-    /// Keeps the state current for as long as the controller runs.
+    /// Keeps the state current while the controller runs.
     pub async fn watch_loop(&self) {
         let mut outage = OutageReporter::default();
         loop {
             if !self.loaded.get() {
                 self.try_load(&mut outage).await;
-            } else if self.linearizable_reads_replace_watch() {
-                sleep(REPLACED_WATCH_PAUSE).await;
+            } else if self.watch_is_suspended() {
+                sleep(SUSPENDED_WATCH_POLL_INTERVAL).await;
             } else {
                 self.read_watch(&mut outage).await;
             }
         }
     }
 
-    fn linearizable_reads_replace_watch(&self) -> bool {
+    fn watch_is_suspended(&self) -> bool {
         let since_read = self
             .clock
             .now()
             .saturating_sub(self.linearizable_read_at.get());
-        since_read < READS_REPLACE_WATCH_WITHIN
+        since_read < WATCH_SUSPENSION_TIME
     }
 
     async fn try_load(&self, outage: &mut OutageReporter) {
         match self.load().await {
-            Ok(()) => outage.log_answer(self.clock.now()),
+            Ok(()) => outage.log_response(self.clock.now()),
             Err(error) => {
                 outage.log_failure(self.clock.now(), &error);
                 sleep(LOAD_RETRY_PAUSE).await;
@@ -233,16 +238,22 @@
 
     async fn read_watch(&self, outage: &mut OutageReporter) {
         let after = self.state.borrow().revision;
-        let begun = self.clock.now();
-        match self.client.watch(keys::ALL, after, WATCH_WAIT).await {
+        let sent_at = self.clock.now();
+        match self.client.watch(keys::ALL, after, WATCH_WAIT_TIME).await {
             Ok(log) => {
                 let now = self.clock.now();
-                outage.log_answer(now);
-                let current_at = now.saturating_sub(WATCH_ANSWER_AGE);
-                self.apply_log(&log, &ReadTimes { begun, current_at });
+                outage.log_response(now);
+                let current_at = now.saturating_sub(ESTIMATED_WATCH_RESPONSE_AGE);
+                self.apply_log(
+                    &log,
+                    &ReadTimes {
+                        sent_at,
+                        current_at,
+                    },
+                );
                 sleep(WATCH_PAUSE).await;
             }
-            Err(WireError::Status(LOG_COMPACTED)) => self.loaded.set(false),
+            Err(WireError::Status(LOG_COMPACTED_STATUS)) => self.loaded.set(false),
             Err(error) => {
                 outage.log_failure(self.clock.now(), &error);
                 sleep(WATCH_RETRY_PAUSE).await;
--- a/src/store/watch_cache/change_notifier.rs
+++ b/src/store/watch_cache/change_notifier.rs
@@ -1,9 +1,9 @@
-//! [`ChangeNotifier`]: wakes loops when there is something to look at.
+//! [`ChangeNotifier`]: wakes loops when the state has changed.
 
 use event_listener::{Event, EventListener};
 use std::cell::Cell;
 
-/// Notifies loops of changes: any number that listen, and one that asks.
+/// Notifies loops of changes: any number of listeners, and one loop that polls a flag.
 #[derive(Default)]
 pub struct ChangeNotifier {
     notified: Cell<bool>,
@@ -11,13 +11,13 @@
 }
 
 impl ChangeNotifier {
-    /// Wakes everyone who listens.
+    /// Wakes all listeners and sets the flag for the polling loop.
     pub fn notify(&self) {
         self.notified.set(true);
         self.event.notify(usize::MAX);
     }
 
-    /// Whether there was a notification since this was called last. For one loop only.
+    /// Returns whether there was a notification since the last call. May be used by one loop only.
     pub fn take_notified(&self) -> bool {
         self.notified.replace(false)
     }
--- a/src/store/watch_cache/final_states.rs
+++ b/src/store/watch_cache/final_states.rs
@@ -1,4 +1,4 @@
-//! Final states of jobs, read one by one: they are not part of the initial load.
+//! Reads of individual final states of jobs, which are not part of the initial load.
 
 use super::{WatchCache, sleep};
 use crate::jobs::model::{FinishedJob, JobId};
@@ -6,15 +6,16 @@
 use crate::time::{Micros, SECOND};
 use crate::wire::{WireError, from_value};
 
-/// How often unknown dependencies are looked up, and how many of them each time: a share of the request
-/// budget that leaves the rest of the controller's requests theirs.
+/// Interval between lookups of unknown dependencies. Together with `MAX_DEPENDENCY_LOOKUPS` it limits the
+/// lookups to a share of the request budget, which leaves enough of it for the controller's other requests.
 const DEPENDENCY_LOOKUP_INTERVAL: Micros = SECOND / 5;
+/// Maximum number of dependencies looked up per interval.
 const MAX_DEPENDENCY_LOOKUPS: usize = 20;
-/// Most time for the read of one final state.
+/// Timeout of the read of one final state.
 const FINAL_STATE_TIMEOUT: Micros = SECOND;
 
 impl WatchCache {
-    /// Looks up how dependencies of unfinished jobs ended, as far as nothing is known of them.
+    /// Looks up the final states of unknown dependencies of unfinished jobs.
     pub async fn dependency_lookup_loop(&self) {
         loop {
             sleep(DEPENDENCY_LOOKUP_INTERVAL).await;
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Reads how a job ended; `None` if it has no final state.
+    /// Reads a job's final state. Returns `None` if the job has none.
     pub async fn read_finished_job(&self, id: &JobId) -> Result<Option<FinishedJob>, WireError> {
         let key = keys::finished_job(id);
         let Some(item) = self.client.get(&key, FINAL_STATE_TIMEOUT).await? else {
--- a/src/store/watch_cache/initial_load.rs
+++ b/src/store/watch_cache/initial_load.rs
@@ -1,4 +1,4 @@
-//! The initial load: lists of all prefixes, made consistent with the log.
+//! Initial load: lists all prefixes and makes the result consistent by applying the log.
 
 use super::{ReadTimes, WatchCache};
 use crate::store::client::RevisionRange;
@@ -7,22 +7,22 @@
 use foldhash::{HashSet, HashSetExt};
 
 impl WatchCache {
-    /// Reads the whole state. Keys that are in the state and no longer exist go.
+    /// Reads the whole state. Keys that no longer exist are removed from the state.
     pub(super) async fn load(&self) -> Result<(), WireError> {
         let mut revisions = RevisionRange::EMPTY;
         for prefix in keys::LOADED {
             revisions = revisions.union(self.load_prefix(prefix).await?);
         }
         self.state.borrow_mut().revision = revisions.smallest;
-        // The lists were read one after the other: the state is consistent only with the log up to the
-        // revision of the last.
+        // The lists were read one after the other, so the state is consistent only after the log up to the
+        // largest revision of the lists is applied.
         loop {
             let after = self.state.borrow().revision;
-            let begun = self.clock.now();
+            let sent_at = self.clock.now();
             let log = self.client.watch(keys::ALL, after, 0).await?;
             let times = ReadTimes {
-                begun,
-                current_at: begun,
+                sent_at,
+                current_at: sent_at,
             };
             self.apply_log(&log, &times);
             if self.state.borrow().revision >= revisions.largest {
--- a/src/store/watch_cache/linearizable_read.rs
+++ b/src/store/watch_cache/linearizable_read.rs
@@ -1,16 +1,17 @@
-//! Linearizable reads: one request to the service serves everyone who asked before it began.
+//! Linearizable reads, batched: one request to the service serves all callers that were waiting when it was
+//! sent.
 
-use super::{LOG_COMPACTED, ReadTimes, WatchCache, sleep};
+use super::{LOG_COMPACTED_STATUS, ReadTimes, WatchCache, sleep};
 use crate::store::keys;
 use crate::time::{MILLI, Micros};
 use crate::wire::WireError;
 
-/// Pause between two linearizable reads: all who ask meanwhile share the next one.
+/// Pause between two linearizable reads. All callers that arrive during the pause share the next read.
 const LINEARIZABLE_READ_PAUSE: Micros = 40 * MILLI;
 
 impl WatchCache {
-    /// Waits for a read that began after the call: everything committed before the call is then in the
-    /// state. False if the state service does not answer.
+    /// Waits for a read that started after the call, so that everything committed before the call is in the
+    /// state. Returns false if the state is not loaded or the state service does not respond.
     pub async fn linearizable_read(&self) -> bool {
         if !self.loaded.get() {
             return false;
@@ -22,37 +23,37 @@
         result.recv().await.unwrap_or(false)
     }
 
-    /// Carries out linearizable reads for as long as the controller runs.
+    /// Executes linearizable reads while the controller runs.
     pub async fn linearizable_read_loop(&self) {
         while let Ok(first) = self.read_request_queue.recv().await {
-            let mut waiting = vec![first];
+            let mut waiting_callers = vec![first];
             while let Ok(next) = self.read_request_queue.try_recv() {
-                waiting.push(next);
+                waiting_callers.push(next);
             }
-            let answered = self.read_log().await;
-            for caller in waiting {
-                // A caller that is gone needs no result.
-                let _ = caller.try_send(answered);
+            let succeeded = self.read_log().await;
+            for caller in waiting_callers {
+                // Fails if the caller was dropped. No result is needed then.
+                let _ = caller.try_send(succeeded);
             }
             sleep(LINEARIZABLE_READ_PAUSE).await;
         }
     }
 
-    /// Reads the log up to now; false if the state service does not answer.
+    /// Reads the log up to the current revision. Returns false if the state service does not respond.
     async fn read_log(&self) -> bool {
-        let begun = self.clock.now();
+        let sent_at = self.clock.now();
         let after = self.state.borrow().revision;
         match self.client.watch(keys::ALL, after, 0).await {
             Ok(log) => {
                 let times = ReadTimes {
-                    begun,
-                    current_at: begun,
+                    sent_at,
+                    current_at: sent_at,
                 };
                 self.apply_log(&log, &times);
                 self.linearizable_read_at.set(self.clock.now());
                 true
             }
-            Err(WireError::Status(LOG_COMPACTED)) => {
+            Err(WireError::Status(LOG_COMPACTED_STATUS)) => {
                 self.loaded.set(false);
                 false
             }
--- a/src/store/watch_cache/outage_reporter.rs
+++ b/src/store/watch_cache/outage_reporter.rs
@@ -1,21 +1,22 @@
-//! [`OutageReporter`]: logs an outage of the state service in a few lines, however often it is tried.
+//! [`OutageReporter`]: rate-limited log messages about outages of the state service, independent of the
+//! number of retries.
 
 use crate::time::{Micros, SECOND};
 use std::fmt::Display;
 
-/// How often a lasting outage is logged again.
-const REPEAT_INTERVAL: Micros = 30 * SECOND;
+/// Interval at which a continuing outage is logged again.
+const OUTAGE_LOG_INTERVAL: Micros = 30 * SECOND;
 
-/// What to log about a failed request.
+/// Log message for a failed request.
 #[derive(Debug, PartialEq)]
 pub(super) enum OutageReport {
-    /// The first failure.
+    /// First failure of an outage.
     Started { error: String },
-    /// Still no answer.
+    /// Further failure, with the duration of the outage up to now.
     Continues { outage: Micros, error: String },
 }
 
-/// Logs once that the state service cannot be reached, now and then for how long, and when it answers again.
+/// Logs the start of an outage of the state service, its duration at regular intervals, and its end.
 #[derive(Default)]
 pub(super) struct OutageReporter {
     started_at: Option<Micros>,
@@ -23,14 +24,18 @@
 }
 
 impl OutageReporter {
-    /// What to log about a failure, if anything.
-    pub(super) fn failed(&mut self, now: Micros, error: &dyn Display) -> Option<OutageReport> {
+    /// Records a failure and returns the message to log, if any.
+    pub(super) fn record_failure(
+        &mut self,
+        now: Micros,
+        error: &dyn Display,
+    ) -> Option<OutageReport> {
         let error = || error.to_string();
         let Some(started_at) = self.started_at else {
             (self.started_at, self.reported_at) = (Some(now), now);
             return Some(OutageReport::Started { error: error() });
         };
-        if now.saturating_sub(self.reported_at) < REPEAT_INTERVAL {
+        if now.saturating_sub(self.reported_at) < OUTAGE_LOG_INTERVAL {
             return None;
         }
         self.reported_at = now;
@@ -40,29 +45,29 @@
         })
     }
 
-    /// How long the outage was that an answer ended, if there was one.
-    pub(super) fn answered(&mut self, now: Micros) -> Option<Micros> {
+    /// Records a response and returns the duration of the outage that it ended, if there was one.
+    pub(super) fn record_response(&mut self, now: Micros) -> Option<Micros> {
         let started_at = self.started_at.take()?;
         Some(now.saturating_sub(started_at))
     }
 
     pub(super) fn log_failure(&mut self, now: Micros, error: &dyn Display) {
-        match self.failed(now, error) {
+        match self.record_failure(now, error) {
             Some(OutageReport::Started { error }) => {
-                tracing::warn!(error, "state service does not answer");
+                tracing::warn!(error, "state service does not respond");
             }
             Some(OutageReport::Continues { outage, error }) => {
                 let outage_s = outage / SECOND;
-                tracing::warn!(outage_s, error, "state service still does not answer");
+                tracing::warn!(outage_s, error, "state service still does not respond");
             }
             None => {}
         }
     }
 
-    pub(super) fn log_answer(&mut self, now: Micros) {
-        if let Some(outage) = self.answered(now) {
+    pub(super) fn log_response(&mut self, now: Micros) {
+        if let Some(outage) = self.record_response(now) {
             let outage_s = outage as f64 / 1e6;
-            tracing::info!(outage_s, "state service answers again");
+            tracing::info!(outage_s, "state service responds again");
         }
     }
 }
--- a/src/store/watch_cache/tests.rs
+++ b/src/store/watch_cache/tests.rs
@@ -1,14 +1,14 @@
-//! Tests of the watch cache that need its private parts.
+//! Unit tests of the watch cache's private types.
 
 use super::outage_reporter::{OutageReport, OutageReporter};
 use crate::time::SECOND;
 
-/// An outage of two minutes is a few lines, not hundreds.
+/// Guards against an outage of two minutes being logged with hundreds of lines, one per failed retry.
 #[test]
-fn an_outage_is_reported_once_and_then_how_long_it_lasts() {
+fn outage_is_reported_at_its_start_and_then_at_regular_intervals() {
     let mut reporter = OutageReporter::default();
     let reports: Vec<OutageReport> = (0..360)
-        .filter_map(|attempt| reporter.failed(attempt * SECOND / 3, &"no answer"))
+        .filter_map(|attempt| reporter.record_failure(attempt * SECOND / 3, &"no answer"))
         .collect();
     assert_eq!(reports.len(), 4);
     let error = || "no answer".to_string();
@@ -18,6 +18,6 @@
         error: error(),
     };
     assert_eq!(reports[3], last);
-    assert_eq!(reporter.answered(120 * SECOND), Some(120 * SECOND));
-    assert_eq!(reporter.answered(121 * SECOND), None);
+    assert_eq!(reporter.record_response(120 * SECOND), Some(120 * SECOND));
+    assert_eq!(reporter.record_response(121 * SECOND), None);
 }
