--- a/src/store/cluster_state/cancellations.rs
+++ b/src/store/cluster_state/cancellations.rs
@@ -58,7 +58,7 @@
             return;
         };
         job.cancelled_by_digest = true;
-        self.epoch += 1;
+        self.change_count += 1;
         let id: JobId = id.into();
         // From now on this controller may confirm the cancellation to users, so its own digests must contain
         // it.
--- a/src/store/cluster_state/dependencies.rs
+++ b/src/store/cluster_state/dependencies.rs
@@ -117,7 +117,7 @@
             }
             self.index_job(&id);
             if changed {
-                self.epoch += 1;
+                self.change_count += 1;
                 pending.extend(self.dependents.get(&id).into_iter().flatten().cloned());
             }
         }
--- a/src/store/cluster_state/finished_jobs.rs
+++ b/src/store/cluster_state/finished_jobs.rs
@@ -70,7 +70,7 @@
         if let Some(dependents) = self.dependents.get(id) {
             let dependents = dependents.iter().cloned().collect();
             self.finished_dependencies.insert(id.clone(), finished);
-            self.epoch += 1;
+            self.change_count += 1;
             self.refresh_readiness(dependents);
         }
         self.finished_jobs.insert(id, finished);
--- a/src/store/cluster_state/mod.rs
+++ b/src/store/cluster_state/mod.rs
@@ -110,7 +110,7 @@
     /// Images that are probably cached on each machine.
     pub images: HashMap<MachineId, HashSet<String>>,
     /// Counter of changes, with which loops detect that they have to evaluate the state again.
-    pub epoch: u64,
+    pub change_count: u64,
     /// Cancellations in the order in which they were read, for requests from peers.
     cancellations: CancellationLog,
 }
@@ -142,7 +142,7 @@
     /// applied.
     pub fn put(&mut self, key: &str, value: &Value, version: u64) {
         if self.key_versions.record_put(key, version) {
-            self.epoch += 1;
+            self.change_count += 1;
             self.apply(key, Some(value));
         }
     }
@@ -150,7 +150,7 @@
     /// Applies a deletion at a revision. Ignored if this or a newer change of the key was already applied.
     pub fn delete(&mut self, key: &str, revision: u64) {
         if self.key_versions.record_delete(key, revision) {
-            self.epoch += 1;
+            self.change_count += 1;
             self.record_job_end(key, revision);
             self.apply(key, None);
         }
@@ -161,7 +161,7 @@
     pub fn retain_prefix(&mut self, prefix: &str, listed: &HashSet<String>, revision: u64) {
         for key in self.key_versions.unlisted_keys(prefix, listed, revision) {
             self.key_versions.remove_version(&key);
-            self.epoch += 1;
+            self.change_count += 1;
             // The job ended between the last revision applied here and the revision of the read. Its end is
             // recorded at the start of this interval: a leader that already included it in the totals has
             // done so at a later revision.
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -195,9 +195,9 @@
     /// Applies a change to the state and sends a notification if the state has changed.
     fn change_state(&self, change: impl FnOnce(&mut ClusterState)) {
         let mut state = self.state.borrow_mut();
-        let epoch_before = state.epoch;
+        let change_count_before = state.change_count;
         change(&mut state);
-        let changed = state.epoch != epoch_before;
+        let changed = state.change_count != change_count_before;
         drop(state);
         if changed {
             self.notifier.notify();
