--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,11 +1,12 @@
-//! Golden files: what goes over the wire and into the state service, byte for byte, as the code wrote it
-//! before its types and fields were renamed. The files were made once from that code and are never made
-//! anew: a difference means that the program no longer understands the version before.
+//! Golden files: the exact bytes of messages on the wire and of values in the state service, as written
+//! before the types and fields were renamed. The files were generated once from that code and are never
+//! regenerated: a difference means that the program is no longer compatible with the previous version.
 //!
-//! Of each type there is a file with every field set (`full`). Where fields may be missing there is one
-//! without them (`sparse`), and what the code writes when it has read that one (`least`).
-//! Apart from the names of types, Rust names stand in `settings_hold_every_field`, `transactions`,
-//! `served_rows`, `unknown_words` and `keys_read_back` only.
+//! Each type has a file with every field set (`full`). A type with optional fields also has a file without
+//! them (`sparse`) and the bytes that the code writes after it has read `sparse` (`least`).
+//! Apart from type names, Rust names are used only in `check_settings`, `check_transactions`,
+//! `check_service_levels_and_reasons`, `unknown_values_are_read_as_the_fallback` and
+//! `keys_are_read_into_the_cluster_state`.
 
 mod common;
 
@@ -39,30 +40,30 @@
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// The folder of golden files, and which of them were read.
+/// Access to the golden files; records which of them were read.
 #[derive(Default)]
-struct Golden {
+struct GoldenFiles {
     read: RefCell<BTreeSet<PathBuf>>,
 }
 
-/// Which files there are of a type.
+/// Golden files that exist for a type.
 #[derive(Clone, Copy, PartialEq)]
-enum Files {
-    /// No field may be missing.
+enum FileSet {
+    /// Every field is required.
     Full,
-    /// Some may.
+    /// Some fields are optional.
     FullAndSparse,
 }
-use Files::{Full, FullAndSparse};
+use FileSet::{Full, FullAndSparse};
 
-fn folder() -> PathBuf {
+fn golden_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden")
 }
 
-impl Golden {
-    /// The content of a file; without it the test fails.
+impl GoldenFiles {
+    /// Returns the content of a file; panics if it cannot be read.
     fn bytes(&self, name: &str) -> Vec<u8> {
-        let path = folder().join(name);
+        let path = golden_directory().join(name);
         let bytes = std::fs::read(&path).unwrap_or_else(|e| panic!("{}: {e}", path.display()));
         self.read.borrow_mut().insert(path);
         bytes
@@ -72,138 +73,144 @@
         String::from_utf8(self.bytes(name)).expect("text")
     }
 
-    /// What was written must be what the file holds.
-    fn same(&self, name: &str, written: &[u8]) {
+    /// Asserts that the written bytes equal the content of the file.
+    fn assert_same(&self, name: &str, written: &[u8]) {
         let golden = self.bytes(name);
         assert!(
             golden == written,
-            "{name}: written otherwise\n golden: {}\nwritten: {}",
-            readable(&golden),
-            readable(written)
+            "{name}: written bytes differ\n golden: {}\nwritten: {}",
+            escaped(&golden),
+            escaped(written)
         );
     }
 
-    /// Reads the files of a type and writes each again.
-    fn round(&self, name: &str, ending: &str, files: Files, again: &dyn Fn(&[u8]) -> Vec<u8>) {
-        let full = format!("{name}.full.{ending}");
-        self.same(&full, &again(&self.bytes(&full)));
+    /// Decodes each file of a type, encodes the value again and compares the bytes.
+    fn check_round_trip(
+        &self,
+        name: &str,
+        extension: &str,
+        files: FileSet,
+        reencode: &dyn Fn(&[u8]) -> Vec<u8>,
+    ) {
+        let full = format!("{name}.full.{extension}");
+        self.assert_same(&full, &reencode(&self.bytes(&full)));
         if files == FullAndSparse {
-            let least = format!("{name}.least.{ending}");
-            let sparse = format!("{name}.sparse.{ending}");
-            self.same(&least, &again(&self.bytes(&sparse)));
-            self.same(&least, &again(&self.bytes(&least)));
+            let least = format!("{name}.least.{extension}");
+            let sparse = format!("{name}.sparse.{extension}");
+            self.assert_same(&least, &reencode(&self.bytes(&sparse)));
+            self.assert_same(&least, &reencode(&self.bytes(&least)));
         }
     }
 
-    /// A type of the wire to users, workers, the cloud and the state service.
-    fn wire<T: Serialize + DeserializeOwned>(&self, name: &str, files: Files) {
-        let again = |bytes: &[u8]| match decode::<T>(bytes) {
+    /// Checks a type exchanged with users, workers, the cloud or the state service.
+    fn check_wire<T: Serialize + DeserializeOwned>(&self, name: &str, files: FileSet) {
+        let reencode = |bytes: &[u8]| match decode::<T>(bytes) {
             Ok(value) => encode(&value),
-            Err(e) => panic!("{name}: cannot be read: {e}\n{}", readable(bytes)),
+            Err(e) => panic!("{name}: cannot be read: {e}\n{}", escaped(bytes)),
         };
-        self.round(&format!("wire/{name}"), "cbor", files, &again);
+        self.check_round_trip(&format!("wire/{name}"), "cbor", files, &reencode);
     }
 
-    /// A value in the state service.
-    fn stored<T: Serialize + DeserializeOwned>(&self, name: &str, files: Files) {
-        let again = |bytes: &[u8]| {
+    /// Checks a type of value stored in the state service.
+    fn check_stored<T: Serialize + DeserializeOwned>(&self, name: &str, files: FileSet) {
+        let reencode = |bytes: &[u8]| {
             let value: Value = decode(bytes).expect("CBOR");
             match from_value::<T>(&value) {
                 Some(typed) => encode(&to_value(&typed)),
-                None => panic!("{name}: cannot be read\n{}", readable(bytes)),
+                None => panic!("{name}: cannot be read\n{}", escaped(bytes)),
             }
         };
-        self.round(&format!("state/{name}"), "cbor", files, &again);
+        self.check_round_trip(&format!("state/{name}"), "cbor", files, &reencode);
     }
 
-    /// A message between controllers.
-    fn between<T: Serialize + DeserializeOwned>(&self, name: &str, files: Files) {
-        let again = |bytes: &[u8]| match unpack::<T>(bytes) {
+    /// Checks a type of message between controllers.
+    fn check_peer<T: Serialize + DeserializeOwned>(&self, name: &str, files: FileSet) {
+        let reencode = |bytes: &[u8]| match unpack::<T>(bytes) {
             Some(value) => pack(&value),
-            None => panic!("{name}: cannot be read\n{}", readable(bytes)),
+            None => panic!("{name}: cannot be read\n{}", escaped(bytes)),
         };
-        self.round(&format!("peer/{name}"), "msgpack", files, &again);
+        self.check_round_trip(&format!("peer/{name}"), "msgpack", files, &reencode);
     }
 }
 
-/// Bytes as a failing test shows them.
-fn readable(bytes: &[u8]) -> String {
+/// Returns the bytes with non-printable ones escaped, for failure messages.
+fn escaped(bytes: &[u8]) -> String {
     String::from_utf8(bytes.escape_ascii().collect()).expect("ASCII")
 }
 
-fn users(golden: &Golden) {
-    golden.wire::<user::Submission>("submission", FullAndSparse);
-    golden.wire::<Vec<user::JobKind>>("shapes", Full);
-    golden.wire::<Vec<user::Priority>>("ranks", Full);
-    golden.wire::<Vec<user::Status>>("job_statuses", Full);
-    golden.wire::<user::JobAnswer>("job_answer", FullAndSparse);
-    golden.wire::<ErrorBody>("refused", Full);
+fn check_user_messages(golden: &GoldenFiles) {
+    golden.check_wire::<user::Submission>("submission", FullAndSparse);
+    golden.check_wire::<Vec<user::JobKind>>("shapes", Full);
+    golden.check_wire::<Vec<user::Priority>>("ranks", Full);
+    golden.check_wire::<Vec<user::Status>>("job_statuses", Full);
+    golden.check_wire::<user::JobAnswer>("job_answer", FullAndSparse);
+    golden.check_wire::<ErrorBody>("refused", Full);
 }
 
-fn workers(golden: &Golden) {
-    golden.wire::<Heartbeat>("report", FullAndSparse);
-    golden.wire::<ReportedTask>("task_report", FullAndSparse);
-    golden.wire::<Vec<TaskStatus>>("task_statuses", Full);
-    golden.wire::<Vec<ExitReason>>("causes", FullAndSparse);
-    golden.wire::<CommandBatch>("orders", FullAndSparse);
-    golden.wire::<LeaderRedirect>("redirect", FullAndSparse);
+fn check_worker_messages(golden: &GoldenFiles) {
+    golden.check_wire::<Heartbeat>("report", FullAndSparse);
+    golden.check_wire::<ReportedTask>("task_report", FullAndSparse);
+    golden.check_wire::<Vec<TaskStatus>>("task_statuses", Full);
+    golden.check_wire::<Vec<ExitReason>>("causes", FullAndSparse);
+    golden.check_wire::<CommandBatch>("orders", FullAndSparse);
+    golden.check_wire::<LeaderRedirect>("redirect", FullAndSparse);
 }
 
-fn clouds(golden: &Golden) {
-    golden.wire::<cloud::MachineTypes>("machine_types", FullAndSparse);
-    golden.wire::<cloud::ProvisionRequest>("rental", Full);
-    golden.wire::<cloud::MachineNames>("machine_names", Full);
-    golden.wire::<cloud::Page>("machine_list", FullAndSparse);
-    golden.wire::<Vec<cloud::ListedStatus>>("machine_statuses", FullAndSparse);
+fn check_cloud_messages(golden: &GoldenFiles) {
+    golden.check_wire::<cloud::MachineTypes>("machine_types", FullAndSparse);
+    golden.check_wire::<cloud::ProvisionRequest>("rental", Full);
+    golden.check_wire::<cloud::MachineNames>("machine_names", Full);
+    golden.check_wire::<cloud::Page>("machine_list", FullAndSparse);
+    golden.check_wire::<Vec<cloud::ListedStatus>>("machine_statuses", FullAndSparse);
 }
 
-fn state_service(golden: &Golden) {
-    golden.wire::<state::Page>("state_page", FullAndSparse);
-    golden.wire::<Item>("state_item", Full);
-    golden.wire::<Revision>("state_revision", FullAndSparse);
-    golden.wire::<Transaction>("state_transaction", FullAndSparse);
-    golden.wire::<LeaseRequest>("state_lease_ask", Full);
-    golden.wire::<Lease>("state_lease", Full);
-    golden.wire::<WatchResponse>("state_log", FullAndSparse);
-    golden.wire::<Event>("state_event_put", FullAndSparse);
+fn check_state_service_messages(golden: &GoldenFiles) {
+    golden.check_wire::<state::Page>("state_page", FullAndSparse);
+    golden.check_wire::<Item>("state_item", Full);
+    golden.check_wire::<Revision>("state_revision", FullAndSparse);
+    golden.check_wire::<Transaction>("state_transaction", FullAndSparse);
+    golden.check_wire::<LeaseRequest>("state_lease_ask", Full);
+    golden.check_wire::<Lease>("state_lease", Full);
+    golden.check_wire::<WatchResponse>("state_log", FullAndSparse);
+    golden.check_wire::<Event>("state_event_put", FullAndSparse);
 }
 
-fn controllers(golden: &Golden) {
-    golden.between::<PeerHeartbeat>("hello", FullAndSparse);
-    golden.between::<CancellationDigest>("word", FullAndSparse);
-    golden.between::<ForwardedRequest>("forward", Full);
-    golden.between::<ForwardedResponse>("forwarded", FullAndSparse);
+fn check_peer_messages(golden: &GoldenFiles) {
+    golden.check_peer::<PeerHeartbeat>("hello", FullAndSparse);
+    golden.check_peer::<CancellationDigest>("word", FullAndSparse);
+    golden.check_peer::<ForwardedRequest>("forward", Full);
+    golden.check_peer::<ForwardedResponse>("forwarded", FullAndSparse);
 }
 
-fn values(golden: &Golden) {
-    golden.stored::<JobRecord>("record", FullAndSparse);
-    golden.stored::<StoredJobRecord>("record_plain", FullAndSparse);
-    golden.stored::<StoredJobRecord>("record_packed", FullAndSparse);
-    golden.stored::<StoredJobRecord>("record_split", Full);
-    golden.stored::<TaskBlock>("block", Full);
-    golden.stored::<StoredBlock>("block_plain", Full);
-    golden.stored::<StoredBlock>("block_packed", FullAndSparse);
-    golden.stored::<StoredBlock>("block_split", FullAndSparse);
-    golden.stored::<JobIdList>("needs", FullAndSparse);
-    golden.stored::<FinishedJob>("final", FullAndSparse);
-    golden.stored::<MachineRecord>("host", FullAndSparse);
-    golden.stored::<Vec<MachineState>>("host_states", Full);
-    golden.stored::<ScaleOutRequest>("charter", FullAndSparse);
-    golden.stored::<TerminationBatch>("leaving", FullAndSparse);
-    golden.stored::<Counts>("counts", FullAndSparse);
-    golden.stored::<PriorityBoosts>("raises", FullAndSparse);
-    golden.stored::<ServiceLevels>("served", FullAndSparse);
-    golden.stored::<String>("team", Full);
-    golden.stored::<Vec<cloud::MachineType>>("types", FullAndSparse);
-    golden.stored::<cloud::MachineType>("type", FullAndSparse);
-    golden.stored::<Version>("version", Full);
-    golden.stored::<Member>("member", FullAndSparse);
-    golden.stored::<Leader>("leader", Full);
-    golden.stored::<Shard>("part", Full);
+fn check_stored_values(golden: &GoldenFiles) {
+    golden.check_stored::<JobRecord>("record", FullAndSparse);
+    golden.check_stored::<StoredJobRecord>("record_plain", FullAndSparse);
+    golden.check_stored::<StoredJobRecord>("record_packed", FullAndSparse);
+    golden.check_stored::<StoredJobRecord>("record_split", Full);
+    golden.check_stored::<TaskBlock>("block", Full);
+    golden.check_stored::<StoredBlock>("block_plain", Full);
+    golden.check_stored::<StoredBlock>("block_packed", FullAndSparse);
+    golden.check_stored::<StoredBlock>("block_split", FullAndSparse);
+    golden.check_stored::<JobIdList>("needs", FullAndSparse);
+    golden.check_stored::<FinishedJob>("final", FullAndSparse);
+    golden.check_stored::<MachineRecord>("host", FullAndSparse);
+    golden.check_stored::<Vec<MachineState>>("host_states", Full);
+    golden.check_stored::<ScaleOutRequest>("charter", FullAndSparse);
+    golden.check_stored::<TerminationBatch>("leaving", FullAndSparse);
+    golden.check_stored::<Counts>("counts", FullAndSparse);
+    golden.check_stored::<PriorityBoosts>("raises", FullAndSparse);
+    golden.check_stored::<ServiceLevels>("served", FullAndSparse);
+    golden.check_stored::<String>("team", Full);
+    golden.check_stored::<Vec<cloud::MachineType>>("types", FullAndSparse);
+    golden.check_stored::<cloud::MachineType>("type", FullAndSparse);
+    golden.check_stored::<Version>("version", Full);
+    golden.check_stored::<Member>("member", FullAndSparse);
+    golden.check_stored::<Leader>("leader", Full);
+    golden.check_stored::<Shard>("part", Full);
 }
 
-/// What follows from a submission: which of its fields becomes which of the record, and under which keys.
-fn transactions(golden: &Golden) {
+/// Transactions that accept and cancel a submission: how its fields map to those of the record, and the keys written.
+fn check_transactions(golden: &GoldenFiles) {
     let submission: user::Submission =
         decode(&golden.bytes("wire/submission.full.cbor")).expect("submission");
     let offered: cloud::MachineTypes =
@@ -211,7 +218,7 @@
     let types = offered
         .machine_types
         .into_iter()
-        .map(|t| (t.name.clone(), t));
+        .map(|machine_type| (machine_type.name.clone(), machine_type));
     let settings = Settings::parse("s.toml", SETTINGS).expect("settings");
     let accepted = validate(&submission, &settings, &types.collect(), 1_700_000_000);
     let accepted = accepted.unwrap_or_else(|_| panic!("refused"));
@@ -224,29 +231,32 @@
     };
     for (form, limits) in [("plain", plain), ("packed", packed)] {
         let mut view = ClusterState::default();
-        let written = accept_submission(&view, id, accepted.clone(), limits).expect("it fits");
-        golden.same(
+        let written = accept_submission(&view, id, accepted.clone(), limits)
+            .expect("the record fits the limits");
+        golden.assert_same(
             &format!("transactions/accept_{form}.cbor"),
             &encode(&written),
         );
-        for change in &written[0].mutations {
+        for mutation in &written[0].mutations {
             if let Mutation::Put {
-                key: put, value: v, ..
-            } = change
+                key: written_key,
+                value: written_value,
+                ..
+            } = mutation
             {
-                view.put(put, v, 5);
+                view.put(written_key, written_value, 5);
             }
         }
-        let written = cancel(&view, &id.into(), limits).expect("it is there");
-        golden.same(
+        let written = cancel(&view, &id.into(), limits).expect("the job exists");
+        golden.assert_same(
             &format!("transactions/withdraw_{form}.cbor"),
             &encode(&written),
         );
     }
 }
 
-/// What is only written: the answer about served shares, and the reasons why jobs wait.
-fn served_rows(golden: &Golden) {
+/// Types that are only encoded: the response with service levels, and the reasons why jobs are pending.
+fn check_service_levels_and_reasons(golden: &GoldenFiles) {
     let row = ServiceLevelRow {
         class: "train".into(),
         team: "free".into(),
@@ -257,7 +267,7 @@
         oldest_s: 12.5,
         overdue: 2,
     };
-    golden.same("wire/served_rows.cbor", &encode(&vec![row]));
+    golden.assert_same("wire/served_rows.cbor", &encode(&vec![row]));
     let reasons = [
         PendingReason::Dependency,
         PendingReason::LastAttempt,
@@ -267,11 +277,11 @@
         PendingReason::QueueOrder,
         PendingReason::ImageFetch,
     ];
-    golden.same("wire/reasons.cbor", &encode(&reasons));
+    golden.assert_same("wire/reasons.cbor", &encode(&reasons));
 }
 
-/// Each function that builds a key, and each key that has no parts.
-fn key_names(golden: &Golden) {
+/// Result of each function that builds a key, and each constant key.
+fn check_key_names(golden: &GoldenFiles) {
     let mut names: Vec<String> = vec![
         keys::ALL.into(),
         keys::LAYOUT.into(),
@@ -301,8 +311,8 @@
     assert_eq!(listed.lines().collect::<Vec<_>>(), names);
 }
 
-/// Each path of a request.
-fn path_names(golden: &Golden) {
+/// Paths of all requests.
+fn check_path_names(golden: &GoldenFiles) {
     let paths: Vec<String> = vec![
         peer::PEER_HEARTBEAT_PATH.into(),
         peer::FORWARD_PATH.into(),
@@ -324,12 +334,12 @@
     assert_eq!(listed.lines().collect::<Vec<_>>(), paths);
 }
 
-/// A settings file with every field, and what each of them comes to.
+/// Parsed value of each field of a settings file that sets every field.
 #[expect(
     clippy::too_many_lines,
     reason = "a table with a line for each field of the settings"
 )]
-fn settings_hold_every_field(golden: &Golden) {
+fn check_settings(golden: &GoldenFiles) {
     let parsed = Settings::parse("settings.toml", &golden.text("settings.toml")).expect("settings");
     let address = |text: &str| -> std::net::SocketAddr { text.parse().expect("address") };
     assert_eq!(parsed.node, "node-a");
@@ -360,13 +370,13 @@
             ("capped", 1_500, 40_250, 2_125, 8_750)
         ]
     );
-    let aims: Vec<_> = parsed
+    let objectives: Vec<_> = parsed
         .objectives
         .iter()
         .map(|o| (o.kind, &*o.class, o.within, o.share, o.times))
         .collect();
     assert_eq!(
-        aims,
+        objectives,
         [
             (ObjectiveKind::Wait, "serve", 2_500_000, 0.95, 1_000),
             (ObjectiveKind::Finished, "train", 900_000_000, 0.9, 1_000),
@@ -399,80 +409,80 @@
     assert_eq!(parsed.memory_mb, 512.5);
 }
 
-/// All that a test of this file reads.
-const ALL: [fn(&Golden); 11] = [
-    users,
-    workers,
-    clouds,
-    state_service,
-    controllers,
-    values,
-    transactions,
-    served_rows,
-    key_names,
-    path_names,
-    settings_hold_every_field,
+/// Checks that together read every golden file.
+const ALL_CHECKS: [fn(&GoldenFiles); 11] = [
+    check_user_messages,
+    check_worker_messages,
+    check_cloud_messages,
+    check_state_service_messages,
+    check_peer_messages,
+    check_stored_values,
+    check_transactions,
+    check_service_levels_and_reasons,
+    check_key_names,
+    check_path_names,
+    check_settings,
 ];
 
 #[test]
-fn wire_of_users_is_as_it_was() {
-    users(&Golden::default());
+fn user_messages_are_unchanged() {
+    check_user_messages(&GoldenFiles::default());
 }
 
 #[test]
-fn wire_of_workers_is_as_it_was() {
-    workers(&Golden::default());
+fn worker_messages_are_unchanged() {
+    check_worker_messages(&GoldenFiles::default());
 }
 
 #[test]
-fn wire_of_the_cloud_is_as_it_was() {
-    clouds(&Golden::default());
+fn cloud_messages_are_unchanged() {
+    check_cloud_messages(&GoldenFiles::default());
 }
 
 #[test]
-fn wire_of_the_state_service_is_as_it_was() {
-    state_service(&Golden::default());
+fn state_service_messages_are_unchanged() {
+    check_state_service_messages(&GoldenFiles::default());
 }
 
 #[test]
-fn messages_between_controllers_are_as_they_were() {
-    controllers(&Golden::default());
+fn peer_messages_are_unchanged() {
+    check_peer_messages(&GoldenFiles::default());
 }
 
 #[test]
-fn values_in_the_state_service_are_as_they_were() {
-    values(&Golden::default());
+fn stored_values_are_unchanged() {
+    check_stored_values(&GoldenFiles::default());
 }
 
 #[test]
-fn transactions_are_as_they_were() {
-    transactions(&Golden::default());
+fn transactions_are_unchanged() {
+    check_transactions(&GoldenFiles::default());
 }
 
 #[test]
-fn what_operators_look_at_is_as_it_was() {
-    served_rows(&Golden::default());
+fn service_levels_and_pending_reasons_are_unchanged() {
+    check_service_levels_and_reasons(&GoldenFiles::default());
 }
 
 #[test]
-fn keys_are_named_as_they_were() {
-    key_names(&Golden::default());
+fn key_names_are_unchanged() {
+    check_key_names(&GoldenFiles::default());
 }
 
 #[test]
-fn paths_are_named_as_they_were() {
-    path_names(&Golden::default());
+fn request_paths_are_unchanged() {
+    check_path_names(&GoldenFiles::default());
 }
 
 #[test]
-fn settings_are_read_as_they_were() {
-    settings_hold_every_field(&Golden::default());
+fn settings_are_parsed_unchanged() {
+    check_settings(&GoldenFiles::default());
 }
 
-/// Words of a newer version are taken as the one that stands for all others.
+/// Values that only a newer version defines are decoded as the fallback variant.
 #[test]
-fn unknown_words() {
-    let golden = Golden::default();
+fn unknown_values_are_read_as_the_fallback() {
+    let golden = GoldenFiles::default();
     let causes: Vec<ExitReason> = decode(&golden.bytes("wire/causes.sparse.cbor")).expect("causes");
     assert_eq!(causes, [ExitReason::Other]);
     let commands: CommandBatch = decode(&golden.bytes("wire/orders.full.cbor")).expect("orders");
@@ -486,17 +496,17 @@
     ));
 }
 
-/// The view reads each kind of key back, with its golden value.
+/// The cluster state recognizes each kind of key, with its golden value.
 #[test]
-fn keys_read_back() {
-    let golden = Golden::default();
+fn keys_are_read_into_the_cluster_state() {
+    let golden = GoldenFiles::default();
     let mut view = ClusterState::default();
     let mut put = |key: String, value: &str| {
         let value: Value = decode(&golden.bytes(&format!("state/{value}.cbor"))).expect("CBOR");
         view.put(&key, &value, 5);
     };
     let id = "req-000412";
-    // Keys of a job that is not known are named again from what was read of them.
+    // Keys that belong to an unknown job are rebuilt from their parsed parts.
     let shards = [
         (keys::block(id, 3), "block_plain.full"),
         (keys::block_part(id, 3, 64, 2), "block.full"),
@@ -548,10 +558,10 @@
     assert!(view.jobs.contains_key(id));
 }
 
-/// How a platform builds and runs the program. Which commit is in production changes with each landing;
-/// that it is said does not.
+/// Build and run commands in `deploy/service.toml`. The commit in production changes with each release, so
+/// only its presence and form are checked.
 #[test]
-fn deployment_is_described_as_it_was() {
+fn deployment_file_is_unchanged() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/service.toml");
     let text = std::fs::read_to_string(path).expect("deploy/service.toml");
     let lines: Vec<&str> = text.lines().collect();
@@ -568,24 +578,24 @@
     );
 }
 
-/// No file lies there that no test reads.
+/// Every file in the golden directory is read by a check.
 #[test]
 fn every_golden_file_is_read() {
-    let golden = Golden::default();
-    for check in ALL {
+    let golden = GoldenFiles::default();
+    for check in ALL_CHECKS {
         check(&golden);
     }
-    let mut there = BTreeSet::new();
-    let mut folders = vec![folder()];
-    while let Some(next) = folders.pop() {
+    let mut found = BTreeSet::new();
+    let mut directories = vec![golden_directory()];
+    while let Some(next) = directories.pop() {
         for entry in std::fs::read_dir(next).expect("folder") {
             let path = entry.expect("entry").path();
             if path.is_dir() {
-                folders.push(path);
+                directories.push(path);
             } else {
-                there.insert(path);
+                found.insert(path);
             }
         }
     }
-    assert_eq!(there, *golden.read.borrow());
+    assert_eq!(found, *golden.read.borrow());
 }
