--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -1,5 +1,5 @@
-//! The command line: commands in the field's terms, and the words of earlier versions, which go on
-//! working without being shown.
+//! The command line: the current command names, and those of earlier versions, which remain valid as hidden
+//! aliases.
 
 use clap::{CommandFactory, Parser};
 use coppergw::cli::{
@@ -8,7 +8,7 @@
 use coppergw::settings::Settings;
 use std::path::{Path, PathBuf};
 
-const NODE: &str = "127.0.0.1:80";
+const NODE_ADDRESS: &str = "127.0.0.1:80";
 
 fn parse(arguments: &[&str]) -> Option<Command> {
     let all = [&["coppergw"], arguments].concat();
@@ -18,7 +18,7 @@
 }
 
 fn inspect(topic: &str) -> InspectTopic {
-    match parse(&["inspect", "--node", NODE, topic]) {
+    match parse(&["inspect", "--node", NODE_ADDRESS, topic]) {
         Some(Command::Inspect {
             topic, id: None, ..
         }) => topic,
@@ -27,19 +27,23 @@
 }
 
 #[test]
-fn a_job_is_cancelled_by_either_word() {
+fn cancel_and_its_alias_are_equivalent() {
     let expected = Some(Command::Cancel {
-        node: NODE.parse().expect("address"),
+        node: NODE_ADDRESS.parse().expect("address"),
         id: "req-7".into(),
     });
-    for word in ["cancel", "withdraw"] {
-        assert_eq!(parse(&[word, "--node", NODE, "req-7"]), expected, "{word}");
+    for name in ["cancel", "withdraw"] {
+        assert_eq!(
+            parse(&[name, "--node", NODE_ADDRESS, "req-7"]),
+            expected,
+            "{name}"
+        );
     }
 }
 
-/// Each topic, the words that name it, and its path, which other versions of the program ask for.
+/// Each topic with its names and its path, which other versions of the program request.
 #[test]
-fn topics_have_their_terms_and_earlier_words() {
+fn topics_have_current_names_and_aliases() {
     let table: [(InspectTopic, &[&str], &str); 8] = [
         (InspectTopic::Members, &["members"], "/inspect/members"),
         (InspectTopic::Shards, &["shards", "parts"], "/inspect/parts"),
@@ -58,32 +62,32 @@
             "/inspect/served",
         ),
     ];
-    for (topic, words, path) in table {
-        for word in words {
-            assert_eq!(inspect(word), topic, "{word}");
+    for (topic, names, path) in table {
+        for name in names {
+            assert_eq!(inspect(name), topic, "{name}");
         }
         assert_eq!(topic.path(), path);
     }
 }
 
 #[test]
-fn help_shows_the_terms_only() {
+fn help_omits_aliases() {
     let mut command = Arguments::command();
     let general = command.render_long_help().to_string();
     assert!(general.contains("cancel"));
     assert!(!general.contains("withdraw"));
     let inspect = command.find_subcommand_mut("inspect").expect("a command");
     let inspect = inspect.render_long_help().to_string();
-    for term in ["- shards", "- service-levels"] {
-        assert!(inspect.contains(term), "{term}: {inspect}");
+    for name in ["- shards", "- service-levels"] {
+        assert!(inspect.contains(name), "{name}: {inspect}");
     }
-    for word in ["parts", "served"] {
-        assert!(!inspect.contains(word), "{word}: {inspect}");
+    for name in ["parts", "served"] {
+        assert!(!inspect.contains(name), "{name}: {inspect}");
     }
 }
 
 #[test]
-fn a_settings_file_alone_runs_a_controller() {
+fn settings_file_without_a_command_runs_serve() {
     let expected = Some(Command::Serve {
         config: PathBuf::from("s.toml"),
         policy: Some(PathBuf::from("p.lua")),
@@ -95,10 +99,10 @@
 }
 
 #[test]
-fn what_is_no_command_is_rejected() {
+fn invalid_commands_are_rejected() {
     for arguments in [
-        &["coppergw", "remove", "--node", NODE, "req-7"][..],
-        &["coppergw", "inspect", "--node", NODE, "everything"],
+        &["coppergw", "remove", "--node", NODE_ADDRESS, "req-7"][..],
+        &["coppergw", "inspect", "--node", NODE_ADDRESS, "everything"],
         &["coppergw", "cancel", "--node", "nowhere", "req-7"],
         &["coppergw", "cancel", "req-7"],
     ] {
@@ -106,9 +110,9 @@
     }
 }
 
-/// Scripts tell failures apart by these numbers.
+/// Scripts depend on these exit codes to distinguish kinds of failure.
 #[test]
-fn exit_codes_tell_failures_apart() {
+fn exit_codes_differ_by_kind_of_failure() {
     assert_eq!(
         (EXIT_FAILURE, EXIT_INVALID_SETTINGS, EXIT_USAGE),
         (1, 2, 64)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Fixtures that the tests share: settings, limits, a job, a machine, a machine type, an in-memory state service,
-//! and a check of the indexes of the cluster state.
+//! Shared test fixtures: settings, limits, a job, a machine, a machine type, an in-memory state service, and a
+//! consistency check of the indexes of the cluster state.
 #![allow(dead_code)]
 
 use coppergw::autoscaler::model::{MachineRecord, MachineState};
@@ -13,7 +13,7 @@
 use coppergw::wire::user::{JobKind, Priority};
 use std::collections::BTreeMap;
 
-/// Limits of transactions in the large deployments, in the layout that every version reads.
+/// Transaction limits of the large deployments, with the storage layout that every version can read.
 pub(crate) const LIMITS: TransactionLimits = TransactionLimits {
     max_mutations: 16,
     max_merged_mutations: 16,
@@ -24,7 +24,7 @@
     wall_clock: 0,
 };
 
-/// A platform's settings: two teams, one with a limit.
+/// Settings file with two teams, one of which has a limit.
 pub(crate) const SETTINGS: &str = r#"
 node_name = "a"
 area = "z"
@@ -59,7 +59,7 @@
 max_connections = 2500
 "#;
 
-/// A job without constraints; tests change the fields that matter to them.
+/// Returns a job without placement constraints; tests override the fields they need.
 pub(crate) fn spec(kind: JobKind, tasks: u32) -> JobSpec {
     JobSpec {
         class: "c".into(),
@@ -89,7 +89,7 @@
     }
 }
 
-/// An on-demand machine that is up.
+/// Returns an on-demand machine in state `Up`.
 pub(crate) fn up(machine_type: &str) -> MachineRecord {
     MachineRecord {
         machine_type: machine_type.into(),
@@ -102,7 +102,7 @@
     }
 }
 
-/// A machine type that is offered in zone `a` only.
+/// Returns a machine type that is offered only in zone `a`.
 pub(crate) fn machine_type(name: &str, cpus: f64, gpus: f64) -> MachineType {
     MachineType {
         name: name.into(),
@@ -123,14 +123,14 @@
 pub(crate) struct Store {
     /// Revision of the last transaction.
     pub rev: u64,
-    /// Each key's value and version.
+    /// Value and version of each key.
     pub keys: BTreeMap<String, (ciborium::Value, u64)>,
-    /// Each change: revision, key, value if it was not deleted.
+    /// All changes in order: revision, key, and value, or `None` for a deletion.
     pub log: Vec<(u64, String, Option<ciborium::Value>)>,
 }
 
 impl Store {
-    /// Carries out a transaction; `false` if a precondition fails.
+    /// Applies a transaction; returns `false` without changes if a precondition fails.
     pub(crate) fn apply(&mut self, transaction: &Transaction) -> bool {
         for Precondition { key, version } in &transaction.preconditions {
             if self.keys.get(key).map_or(0, |entry| entry.1) != *version {
@@ -170,7 +170,7 @@
     }
 }
 
-/// The indexes computed from all jobs and machines.
+/// Returns the indexes computed from scratch from all jobs and machines.
 fn recompute_indexes(view: &ClusterState) -> Indexes {
     let mut indexes = Indexes::default();
     for (id, job) in &view.jobs {
@@ -216,8 +216,8 @@
     indexes
 }
 
-/// Asserts that the indexes of the cluster state equal those computed from all jobs and machines: the scheduler
-/// would silently leave out a machine or a job that an index misses.
+/// Asserts that the indexes of the cluster state equal those computed from all jobs and machines. The scheduler
+/// would silently skip a machine or a job that is missing from an index.
 pub(crate) fn indexed(view: &ClusterState) {
     assert_eq!(*view.indexes(), recompute_indexes(view));
     for (machine, tasks) in &view.tasks_by_machine {
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,10 +1,10 @@
-//! `.ci/test` passes over the tests that KNOWN-RED.txt names, and over nothing else.
+//! `.ci/test` tolerates failures of exactly the tests listed in KNOWN-RED.txt.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// A cargo that knows three tests, of which `b` fails, and writes down how it was called.
-const CARGO: &str = r#"#!/usr/bin/env bash
+/// Stand-in for cargo with three tests, of which `b` fails. It logs the arguments of each call.
+const FAKE_CARGO_SCRIPT: &str = r#"#!/usr/bin/env bash
 echo "$*" >> "$(dirname "$0")/calls"
 case "$*" in
   *--list*) printf 'm::a: test\nm::b: test\nm::bb: test\n' ;;
@@ -14,34 +14,35 @@
 esac
 "#;
 
-/// A run of `.ci/test` with the stand-in for cargo.
+/// Result of a run of `.ci/test` with the stand-in for cargo.
 struct ScriptRun {
     directory: PathBuf,
     output: Output,
 }
 
 impl ScriptRun {
-    /// The arguments of each call of cargo, a line each.
+    /// Returns the arguments of the calls of cargo, one line for each call.
     fn calls(&self) -> String {
         std::fs::read_to_string(self.directory.join("calls")).unwrap_or_default()
     }
 
-    /// Standard output and standard error.
+    /// Returns standard output followed by standard error.
     fn printed(&self) -> String {
         let text = [&self.output.stdout[..], &self.output.stderr[..]].concat();
         String::from_utf8_lossy(&text).into_owned()
     }
 }
 
-/// Runs `.ci/test` with this text of KNOWN-RED.txt.
+/// Runs `.ci/test` with this content of KNOWN-RED.txt, or without the file.
 fn run(name: &str, known_red: Option<&str>) -> ScriptRun {
     use std::os::unix::fs::PermissionsExt;
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("known-red-{name}"));
     let _ = std::fs::remove_dir_all(&directory);
     std::fs::create_dir_all(&directory).expect("directory");
     let cargo = directory.join("cargo");
-    std::fs::write(&cargo, CARGO).expect("written");
-    std::fs::set_permissions(&cargo, std::fs::Permissions::from_mode(0o755)).expect("allowed");
+    std::fs::write(&cargo, FAKE_CARGO_SCRIPT).expect("written");
+    std::fs::set_permissions(&cargo, std::fs::Permissions::from_mode(0o755))
+        .expect("permissions set");
     let list = directory.join("KNOWN-RED.txt");
     if let Some(text) = known_red {
         std::fs::write(&list, text).expect("written");
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn without_the_file_everything_runs_and_counts() {
+fn all_tests_run_without_listed_tests() {
     let without = run("none", None);
     assert_eq!(without.calls(), "test --locked --workspace\n");
     assert_eq!(without.output.status.code(), Some(101));
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn just_the_tests_named_are_passed_over_and_printed() {
+fn only_listed_tests_may_fail_and_are_printed() {
     let two = run("two", Some("m::b | cause | 23\nm::a | gone | 24\n"));
     assert!(two.output.status.success(), "{}", two.printed());
     let others = "test --locked --workspace -- --exact --skip m::b --skip m::a\n";
@@ -72,11 +73,11 @@
     assert!(two.printed().contains("m::b fails"));
     assert!(two.printed().contains("m::a passes now"));
     let other = run("other", Some("m::a | cause | 23"));
-    assert!(!other.output.status.success(), "b fails and is not named");
+    assert!(!other.output.status.success(), "b fails and is not listed");
 }
 
 #[test]
-fn a_list_that_says_too_little_or_too_much_fails() {
+fn invalid_lists_are_rejected() {
     for (name, text, reason) in [
         ("long", "m::a|c|1\nm::b|c|1\nm::bb|c|1\nm::a|c|1\n", "three"),
         ("short", "m::b | cause\n", "line 1"),
