--- a/tests/large_clusters.rs
+++ b/tests/large_clusters.rs
@@ -1,6 +1,6 @@
-//! Clusters of the size of the grown deployments: schedules keep the rules and equal those of a plain
-//! scheduler, transactions keep the limits of size and count, and machines are known in large numbers by
-//! few writes.
+//! Clusters of the size of the large deployments: schedules obey the placement rules and equal those of a
+//! reference scheduler, transactions stay within the limits on size and number of mutations, and large numbers
+//! of machines are recorded with few writes.
 
 mod common;
 #[path = "large_clusters/machines.rs"]
--- a/tests/large_clusters/reference_schedule.rs
+++ b/tests/large_clusters/reference_schedule.rs
@@ -1,7 +1,7 @@
-//! The scheduler works on runs of equal tasks and an index of machines. Here its decisions are compared with
-//! those of a plain scheduler that looks at every machine for every task.
+//! Comparison of the scheduler, which works on runs of equal tasks and an index of machines, with a reference
+//! scheduler that examines every machine for every task.
 
-use crate::world::{World, spec};
+use crate::world::{Cluster, job_spec};
 use coppergw::jobs::commit::JobChange;
 use coppergw::jobs::model::{JobSpec, Resources};
 use coppergw::wire::user::{JobKind, Priority};
@@ -9,40 +9,40 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// Tasks that each job has on each machine.
+/// Number of tasks of each job on each machine.
 type TaskCounts = BTreeMap<String, BTreeMap<String, u32>>;
 
-/// A machine of the plain scheduler.
-struct PlainMachine {
+/// Machine of the reference scheduler.
+struct ReferenceMachine {
     free: Resources,
     capacity: Resources,
     spot: bool,
 }
 
-fn plain_machines(world: &World) -> BTreeMap<String, PlainMachine> {
-    let machines = world.state.machines.iter();
+fn reference_machines(cluster: &Cluster) -> BTreeMap<String, ReferenceMachine> {
+    let machines = cluster.state.machines.iter();
     machines
         .map(|(id, machine)| {
-            let machine_type = &world.state.machine_types[&machine.machine_type];
+            let machine_type = &cluster.state.machine_types[&machine.machine_type];
             let capacity = Resources::of_machine(machine_type);
-            let plain = PlainMachine {
+            let reference = ReferenceMachine {
                 free: capacity,
                 capacity,
                 spot: machine.spot,
             };
-            (id.to_string(), plain)
+            (id.to_string(), reference)
         })
         .collect()
 }
 
-/// The machine that a task costs least on, if it fits on any.
+/// Returns the machine with the lowest cost for a task, if the task fits on any.
 fn best_machine(
-    world: &World,
-    machines: &BTreeMap<String, PlainMachine>,
+    cluster: &Cluster,
+    machines: &BTreeMap<String, ReferenceMachine>,
     spec: &JobSpec,
 ) -> Option<String> {
     let cached = |id: &str| {
-        let images = world.state.images.get(id);
+        let images = cluster.state.images.get(id);
         images.is_some_and(|images| images.contains(&spec.image))
     };
     machines
@@ -64,9 +64,9 @@
         .map(|(id, _)| id.clone())
 }
 
-/// The same decisions task by task, over all machines for each: what the schedule must equal.
-fn plain_schedule(world: &World, jobs: &[(String, JobSpec)]) -> TaskCounts {
-    let mut machines = plain_machines(world);
+/// Returns the expected schedule, computed task by task over all machines.
+fn reference_schedule(cluster: &Cluster, jobs: &[(String, JobSpec)]) -> TaskCounts {
+    let mut machines = reference_machines(cluster);
     let mut order: Vec<&(String, JobSpec)> = jobs.iter().collect();
     order.sort_by_key(|(id, spec)| {
         let run_time_ms = spec.estimated_run_time / 1000;
@@ -76,7 +76,7 @@
     let mut counts = TaskCounts::new();
     for (id, spec) in order {
         for _ in 0..spec.task_count {
-            let Some(best) = best_machine(world, &machines, spec) else {
+            let Some(best) = best_machine(cluster, &machines, spec) else {
                 break;
             };
             if let Some(machine) = machines.get_mut(&best) {
@@ -110,35 +110,35 @@
         ..ProptestConfig::default()
     })]
 
-    /// Runs of equal tasks over indexed machines, and each task over all machines, decide alike.
+    /// Scheduling runs of equal tasks over indexed machines gives the same result as each task over all machines.
     #[test]
-    fn indexed_and_plain_schedules_are_equal(
+    fn indexed_schedule_equals_reference_schedule(
         machines in proptest::collection::vec((proptest::bool::weighted(0.1), any::<bool>()), 1..400),
         images in proptest::collection::vec((0usize..400, 0u8..3), 0..200),
         jobs in proptest::collection::vec((0u8..2, 0u8..2, 1u32..400, 1i64..5, any::<bool>()), 1..24),
     ) {
-        let mut world = World::new(&machines);
-        // Some machines have some of the images: jobs of one kind see them in different orders.
+        let mut cluster = Cluster::new(&machines);
+        // Some machines have cached images, so that jobs of one kind rank the machines in different orders.
         for (machine, image) in &images {
             let id = format!("m-{:06}", machine % machines.len());
-            let cached = world.state.images.entry(id.as_str().into()).or_default();
+            let cached = cluster.state.images.entry(id.as_str().into()).or_default();
             cached.insert(format!("i{image}"));
         }
         let mut submitted = Vec::new();
         for (number, (kind, priority, tasks, cpus, spot)) in jobs.iter().enumerate() {
             let kind = [JobKind::Array, JobKind::Service][*kind as usize];
-            // No priority is high enough to preempt: that is not what is compared here.
+            // These priorities do not preempt: preemption is outside this comparison.
             let priority = [Priority::Normal, Priority::Low][*priority as usize];
             let job = JobSpec {
                 allow_spot: *spot,
                 image: format!("i{}", number % 4),
-                ..spec(kind, priority, *tasks, *cpus, 0)
+                ..job_spec(kind, priority, *tasks, *cpus, 0)
             };
             let id = format!("req-{number}");
-            world.put_job(&id, job.clone());
+            cluster.put_job(&id, job.clone());
             submitted.push((id, job));
         }
-        let scheduled = task_counts(&world.schedule(&HashMap::new()));
-        prop_assert_eq!(scheduled, plain_schedule(&world, &submitted));
+        let scheduled = task_counts(&cluster.schedule(&HashMap::new()));
+        prop_assert_eq!(scheduled, reference_schedule(&cluster, &submitted));
     }
 }
--- a/tests/large_clusters/world.rs
+++ b/tests/large_clusters/world.rs
@@ -1,4 +1,4 @@
-//! A cluster in memory: its state, and the steps that change it as the state service would.
+//! In-memory cluster: its state, and operations that change it as the state service would.
 
 use crate::common::{self, LIMITS, machine_type};
 use coppergw::autoscaler::model::{MachineRecord, MachineState};
@@ -15,8 +15,14 @@
 use coppergw::wire::{encode, to_value};
 use foldhash::{HashMap, HashSet, HashSetExt};
 
-/// A job of so many tasks, of whole CPUs and GPUs each.
-pub(crate) fn spec(kind: JobKind, priority: Priority, tasks: u32, cpus: i64, gpus: i64) -> JobSpec {
+/// Returns a job with `tasks` tasks, each with the given whole numbers of CPUs and GPUs.
+pub(crate) fn job_spec(
+    kind: JobKind,
+    priority: Priority,
+    tasks: u32,
+    cpus: i64,
+    gpus: i64,
+) -> JobSpec {
     JobSpec {
         priority,
         resources: Resources {
@@ -30,15 +36,15 @@
     }
 }
 
-pub(crate) struct World {
+pub(crate) struct Cluster {
     pub state: ClusterState,
     pub revision: u64,
 }
 
-impl World {
-    /// So many machines that are up, each with GPUs or not, and a spot machine or not.
-    pub(crate) fn new(machines: &[(bool, bool)]) -> World {
-        let mut world = World {
+impl Cluster {
+    /// Creates a cluster with one machine in state `Up` for each entry: whether it has GPUs, and whether it is spot.
+    pub(crate) fn new(machines: &[(bool, bool)]) -> Cluster {
+        let mut cluster = Cluster {
             state: ClusterState::default(),
             revision: 0,
         };
@@ -46,14 +52,14 @@
             machine_type("cpu", 16.0, 0.0),
             machine_type("gpu", 24.0, 2.0),
         ];
-        world.put(keys::TYPES.into(), to_value(&machine_types));
+        cluster.put(keys::TYPES.into(), to_value(&machine_types));
         for number in 0..SHARD_COUNT {
             let shard = Shard {
                 owner: "n".into(),
                 lease: 1,
                 term: 1,
             };
-            world.put(keys::shard(number), to_value(&shard));
+            cluster.put(keys::shard(number), to_value(&shard));
         }
         for (number, (gpu, spot)) in machines.iter().enumerate() {
             let machine = MachineRecord {
@@ -66,9 +72,9 @@
                 rented_at: 0,
             };
             let key = keys::machine(&format!("m-{number:06}"));
-            world.put(key, to_value(&machine));
+            cluster.put(key, to_value(&machine));
         }
-        world
+        cluster
     }
 
     pub(crate) fn put(&mut self, key: String, value: ciborium::Value) {
@@ -86,7 +92,7 @@
         self.put(keys::job(id), to_value(&record));
     }
 
-    /// Carries out a transaction, and checks the indexes afterwards.
+    /// Applies a transaction, and checks the indexes afterwards.
     pub(crate) fn apply(&mut self, transaction: &Transaction) {
         self.revision += 1;
         for mutation in &transaction.mutations {
@@ -98,13 +104,13 @@
         common::indexed(&self.state);
     }
 
-    /// What the scheduler decides; `freed` are resources of exits that are not written yet.
+    /// Returns the decisions of the scheduler; `freed` holds resources of task exits that are not written yet.
     pub(crate) fn schedule(&self, freed: &HashMap<MachineId, Resources>) -> Vec<JobChange> {
-        self.schedule_owning(freed, &|_| true)
+        self.schedule_for_owner(freed, &|_| true)
     }
 
-    /// The same for a controller that owns these machines only.
-    pub(crate) fn schedule_owning(
+    /// Returns the decisions of a controller that owns only the machines selected by `owns_machine`.
+    pub(crate) fn schedule_for_owner(
         &self,
         freed: &HashMap<MachineId, Resources>,
         owns_machine: &dyn Fn(&str) -> bool,
@@ -133,18 +139,18 @@
         .changes
     }
 
-    /// Carries out changes and checks every transaction against the state service's limits.
-    pub(crate) fn carry_out(&mut self, changes: &[JobChange]) {
+    /// Applies changes and checks every transaction against the limits of the state service.
+    pub(crate) fn apply_changes(&mut self, changes: &[JobChange]) {
         for staged in stage(&self.state, changes, &HashSet::new(), &|_| false, LIMITS) {
             let transaction = &staged.transaction;
             assert!(transaction.mutations.len() <= 16 && transaction.preconditions.len() <= 64);
             assert!(
                 encode(transaction).len() <= 64 * 1024,
-                "a transaction too large"
+                "transaction too large"
             );
             for mutation in &transaction.mutations {
                 if let Mutation::Put { value, .. } = mutation {
-                    assert!(encode(value).len() <= 32 * 1024, "a value too large");
+                    assert!(encode(value).len() <= 32 * 1024, "value too large");
                 }
             }
             self.apply(transaction);
