--- a/src/controller.rs
+++ b/src/controller.rs
@@ -150,7 +150,7 @@
         self.spawn(|this| async move { this.reconcile_loop().await });
         self.spawn(|this| async move { this.autoscaler_loop().await });
         self.spawn(|this| async move { this.task_counts_loop().await });
-        self.spawn(|this| async move { this.peer_loop().await });
+        self.spawn(|this| async move { this.peer_heartbeat_loop().await });
     }
 
     fn spawn<F: Future + 'static>(self: &Rc<Controller>, task: impl FnOnce(Rc<Controller>) -> F)
@@ -223,7 +223,7 @@
         if heartbeat.is_empty() {
             return Response::status(400);
         }
-        self.on_peer_heartbeat(&heartbeat)
+        self.handle_peer_heartbeat(&heartbeat)
     }
 
     /// Returns whether the load balancer should route users to this controller.
@@ -231,14 +231,14 @@
         if !self.watch_cache.loaded() {
             return false;
         }
-        self.watch_cache.current() || self.common_outage()
+        self.watch_cache.current() || self.state_service_unreachable_for_all()
     }
 
     /// Returns whether no controller reaches the state service, so that no other controller can serve users better.
     /// It does not imply anything about requests that other controllers accepted before.
-    pub fn common_outage(&self) -> bool {
+    pub fn state_service_unreachable_for_all(&self) -> bool {
         self.membership
-            .common_outage(self.settings.peers.len(), self.clock.now())
+            .state_service_unreachable_for_all(self.settings.peers.len(), self.clock.now())
     }
 
     /// Logs a milestone when it is reached for the first time.
@@ -266,7 +266,7 @@
     /// writes of earlier owners.
     pub fn term(&self, view: &ClusterState, shard: u32) -> Option<u64> {
         let record = view.shards.get(&shard)?;
-        let is_owner = record.owner == self.me() && self.membership.is_own_lease(record.lease);
+        let is_owner = record.owner == self.me() && self.membership.was_lease_granted(record.lease);
         (is_owner
             && self.watch_cache.loaded()
             && view.revision >= view.version(&keys::shard(shard)))
--- a/src/membership/cancellation_watermark.rs
+++ b/src/membership/cancellation_watermark.rs
@@ -14,7 +14,7 @@
 //!
 //! A controller that crashes during an outage loses the cancellations that it confirmed after its latest
 //! response. Therefore a controller that cannot reach the state service grants peers in the same situation
-//! a hold: it confirms no cancellation for [`CONFIRMATION_HOLD`], even if the service becomes reachable
+//! a hold: it confirms no cancellation for [`CONFIRMATION_HOLD_TIME`], even if the service becomes reachable
 //! again. An incarnation that starts before the hold ends can respond on behalf of the previous one.
 
 use crate::store::cluster_state::ClusterState;
@@ -25,7 +25,7 @@
 
 /// Time for which a controller that cannot reach the state service confirms no cancellation. Longer than a
 /// restart of the process takes; users who cancel a job retry about every second.
-pub const CONFIRMATION_HOLD: Micros = 12 * SECOND;
+pub const CONFIRMATION_HOLD_TIME: Micros = 12 * SECOND;
 
 /// Maximum number of cancellations in a digest; bounds its size. A longer digest is truncated and does not
 /// advance the watermark.
@@ -38,13 +38,13 @@
 }
 
 /// Inputs of a cancellation digest.
-pub struct DigestSource<'a> {
+pub struct DigestInputs<'a> {
     /// This controller's view of the cluster state.
     pub view: &'a ClusterState,
     /// Whether the view was loaded at any time since the process started. Until then this controller has
     /// not read which cancellations earlier incarnations of its name confirmed, and has confirmed none
     /// itself.
-    pub loaded: bool,
+    pub view_loaded: bool,
     /// Whether this controller reaches the state service.
     pub state_service_reachable: bool,
     /// Time since the process started.
@@ -54,42 +54,46 @@
 }
 
 /// Returns the digest that responds to a peer's request: the cancellations after the requested revision,
-/// and whether this controller confirms none for [`CONFIRMATION_HOLD`] from now on.
+/// and whether this controller confirms none for [`CONFIRMATION_HOLD_TIME`] from now on.
 pub fn cancellation_digest(
-    source: &DigestSource<'_>,
+    inputs: &DigestInputs<'_>,
     request: &PeerHeartbeat,
 ) -> CancellationDigest {
     let after = request.revision;
     let mut cancelled = Vec::new();
     // Revision 0 comes from a peer that has not read the state yet or runs the previous version; neither
     // needs a list.
-    let mut complete = !source.loaded;
-    let entries = source
+    let mut complete = !inputs.view_loaded;
+    let entries = inputs
         .view
         .cancelled_after(after)
-        .filter(|_| source.loaded && after > 0);
+        .filter(|_| inputs.view_loaded && after > 0);
     if let Some(mut entries) = entries {
-        let first = entries.by_ref().take(source.max_entries);
+        let first = entries.by_ref().take(inputs.max_entries);
         cancelled.extend(first.map(|(revision, id)| (id.to_string(), *revision)));
         complete = entries.next().is_none();
     }
     // A peer that reaches the service does not need a hold, and a controller that reaches it grants none.
     let grants_hold = complete
-        && !source.state_service_reachable
+        && !inputs.state_service_reachable
         && !request.state_service_reachable
         && after > 0;
     CancellationDigest {
         after,
         cancelled,
         complete,
-        process_age: (!source.loaded).then_some(source.process_age),
-        hold: if grants_hold { CONFIRMATION_HOLD } else { 0 },
+        process_age: (!inputs.view_loaded).then_some(inputs.process_age),
+        hold: if grants_hold {
+            CONFIRMATION_HOLD_TIME
+        } else {
+            0
+        },
     }
 }
 
 /// Returns the time, by this controller's monotonic clock, until which it confirms no cancellation after
 /// creating the digest at `now`; 0 if the digest grants no hold.
-pub fn held_until(digest: &CancellationDigest, now: Micros) -> Micros {
+pub fn confirmation_hold_end(digest: &CancellationDigest, now: Micros) -> Micros {
     match digest.hold {
         0 => 0,
         hold => now + hold + max_clock_drift(hold),
@@ -116,13 +120,13 @@
     /// Name of the peer that the request was sent to.
     pub peer: &'a str,
     /// Time at which the request was sent, by this controller's monotonic clock.
-    pub asked_at: Micros,
+    pub requested_at: Micros,
     /// Time at which the response arrived, by this controller's monotonic clock.
-    pub answered_at: Micros,
+    pub responded_at: Micros,
     /// Revision after which the request asked for cancellations.
     pub after_revision: u64,
     /// The response.
-    pub answer: &'a PeerHeartbeat,
+    pub response: &'a PeerHeartbeat,
 }
 
 /// For each peer, the time before which this controller's view contains every cancellation that the peer
@@ -139,8 +143,8 @@
     /// A response from a peer that reaches the state service does not advance the watermark: if this
     /// controller does not reach the service, such a peer takes over its shards, and this controller has to
     /// let it.
-    pub fn record_answer<'a>(&mut self, exchange: &DigestExchange<'a>) -> &'a [(String, u64)] {
-        let response = exchange.answer;
+    pub fn record_response<'a>(&mut self, exchange: &DigestExchange<'a>) -> &'a [(String, u64)] {
+        let response = exchange.response;
         let Some(digest) = response.digest.as_ref().filter(|digest| {
             response.node == exchange.peer && is_valid_response(digest, exchange.after_revision)
         }) else {
@@ -152,16 +156,16 @@
         // controller's clock is invalid.
         let started_at = |age: u64| {
             exchange
-                .answered_at
+                .responded_at
                 .checked_sub(age.saturating_sub(max_clock_drift(age)))
         };
         let covers_earlier_incarnations = digest
             .process_age
             .is_none_or(|age| started_at(age).is_some_and(|started| started <= watermark.hold_end));
         if digest.complete && !response.state_service_reachable && covers_earlier_incarnations {
-            watermark.complete_until = watermark.complete_until.max(exchange.asked_at);
-            let hold = digest.hold.min(CONFIRMATION_HOLD);
-            let hold_end = exchange.asked_at + hold - max_clock_drift(hold);
+            watermark.complete_until = watermark.complete_until.max(exchange.requested_at);
+            let hold = digest.hold.min(CONFIRMATION_HOLD_TIME);
+            let hold_end = exchange.requested_at + hold - max_clock_drift(hold);
             watermark.hold_end = watermark.hold_end.max(hold_end);
         }
         &digest.cancelled
--- a/src/membership/layout_agreement.rs
+++ b/src/membership/layout_agreement.rs
@@ -2,7 +2,7 @@
 //! recorded durably that it supports it. Holds no state in memory; writes this controller's version key and
 //! the layout key.
 
-use super::records::{Member, Version};
+use super::records::{LayoutVersion, Member};
 use crate::controller::Controller;
 use crate::store::client::TransactionOutcome;
 use crate::store::keys;
@@ -18,17 +18,17 @@
 /// a process that died before its upgrade may restart with the old version.
 pub fn all_support_layout<'a>(
     names: impl Iterator<Item = &'a str>,
-    versions: &BTreeMap<String, Version>,
+    versions: &BTreeMap<String, LayoutVersion>,
     members: &BTreeMap<String, Member>,
 ) -> bool {
     let mut names = names;
     names.all(|name| {
         versions
             .get(name)
-            .is_some_and(|recorded| recorded.version >= LAYOUT_VERSION)
+            .is_some_and(|recorded| recorded.layout_version >= LAYOUT_VERSION)
     }) && members
         .values()
-        .all(|member| member.version >= LAYOUT_VERSION)
+        .all(|member| member.layout_version >= LAYOUT_VERSION)
 }
 
 impl Controller {
@@ -64,7 +64,7 @@
         let peer_names = self.settings.peers.iter().map(|peer| peer.name.as_str());
         let recorded = view.versions.get(own_name);
         let mut transaction = Transaction::default();
-        let key = if recorded.is_none_or(|recorded| recorded.version < LAYOUT_VERSION) {
+        let key = if recorded.is_none_or(|recorded| recorded.layout_version < LAYOUT_VERSION) {
             keys::version(own_name)
         } else if all_support_layout(peer_names.chain([own_name]), &view.versions, &view.members) {
             transaction.preconditions.push(Precondition {
@@ -77,8 +77,8 @@
         };
         transaction.mutations.push(Mutation::Put {
             key,
-            value: to_value(&Version {
-                version: LAYOUT_VERSION,
+            value: to_value(&LayoutVersion {
+                layout_version: LAYOUT_VERSION,
             }),
             lease: None,
         });
--- a/src/membership/leader_election.rs
+++ b/src/membership/leader_election.rs
@@ -21,7 +21,7 @@
     /// Another incarnation is the leader or should become it.
     Following,
     /// There is no leader: this incarnation should try to become it with the given write.
-    Vacant(Transaction),
+    NoLeader(Transaction),
 }
 
 /// Returns whether an incarnation is the leader or should become it. The leader is an incarnation, not a
@@ -59,7 +59,7 @@
         node: incarnation.node.to_string(),
         lease: incarnation.lease,
     };
-    LeaderStatus::Vacant(Transaction {
+    LeaderStatus::NoLeader(Transaction {
         preconditions: vec![view.precondition(keys::LEADER)],
         mutations: vec![Mutation::Put {
             key: keys::LEADER.into(),
@@ -83,7 +83,7 @@
             match leader_status(&view, &live_members, incarnation, wall()) {
                 LeaderStatus::Leading => return true,
                 LeaderStatus::Following => return false,
-                LeaderStatus::Vacant(claim) => claim,
+                LeaderStatus::NoLeader(claim) => claim,
             }
         };
         match self.watch_cache.transaction(&claim).await {
--- a/src/membership/lease_renewal/tests.rs
+++ b/src/membership/lease_renewal/tests.rs
@@ -7,12 +7,12 @@
 #[test]
 fn granted_leases_remain_own_after_expiry() {
     let membership = Membership::default();
-    assert!(!membership.is_own_lease(7));
+    assert!(!membership.was_lease_granted(7));
     membership.lease.set(Some(7));
-    assert!(membership.is_own_lease(7) && !membership.is_own_lease(6));
+    assert!(membership.was_lease_granted(7) && !membership.was_lease_granted(6));
     membership.lease.set(None);
     assert!(
-        membership.is_own_lease(7),
+        membership.was_lease_granted(7),
         "no other controller has raised the terms yet"
     );
     assert_eq!(
@@ -22,6 +22,8 @@
     );
     membership.lease.set(Some(9));
     assert!(
-        membership.is_own_lease(7) && membership.is_own_lease(9) && !membership.is_own_lease(8)
+        membership.was_lease_granted(7)
+            && membership.was_lease_granted(9)
+            && !membership.was_lease_granted(8)
     );
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -32,9 +32,9 @@
 pub use layout_agreement::{LAYOUT_VERSION, all_support_layout};
 pub use leader_election::{LeaderStatus, leader_status};
 pub use lease_renewal::{Incarnation, claim_member_key};
-pub use peer_heartbeats::MAX_READY_MACHINES;
-pub use records::{Leader, Member, Shard, Version};
-pub use shard_assignment::{SHARD_COUNT, ShardOwners, assign_shards, hash, shard_of};
+pub use peer_heartbeats::MAX_READY_MACHINES_PER_HEARTBEAT;
+pub use records::{LayoutVersion, Leader, Member, Shard};
+pub use shard_assignment::{SHARD_COUNT, ShardOwners, assign_shards, shard_of, stable_hash};
 pub use shard_ownership::{ShardClaim, claim_shards};
 
 use crate::ids::MachineId;
@@ -75,13 +75,13 @@
     /// Returns whether the lease was granted to this process at any time. The process drives the shards
     /// that it claimed under the lease until another incarnation raises their terms, even after the lease
     /// expired.
-    pub fn is_own_lease(&self, lease: u64) -> bool {
+    pub fn was_lease_granted(&self, lease: u64) -> bool {
         self.lease.was_granted(lease)
     }
 
     /// Replaces the set of own shards whose term must be raised once more because an unacknowledged start
     /// may still reach their machines under the current term.
-    pub fn raise_terms(&self, shards: impl Iterator<Item = u32>) {
+    pub fn set_pending_term_increments(&self, shards: impl Iterator<Item = u32>) {
         let mut pending = self.pending_term_increments.borrow_mut();
         pending.clear();
         pending.extend(shards);
@@ -100,7 +100,7 @@
 
     /// Returns the session of a peer's machine that is ready before its record is updated, according to a
     /// recent heartbeat of the peer.
-    pub fn ready_at_peer(&self, id: &MachineId, now: Micros) -> Option<u64> {
+    pub fn ready_session_at_peer(&self, id: &MachineId, now: Micros) -> Option<u64> {
         self.peers.ready_session(id, now)
     }
 
@@ -111,7 +111,8 @@
 
     /// Returns whether each of the `peer_count` peers recently responded that it cannot reach the state
     /// service either.
-    pub fn common_outage(&self, peer_count: usize, now: Micros) -> bool {
-        self.peers.common_outage(peer_count, now)
+    pub fn state_service_unreachable_for_all(&self, peer_count: usize, now: Micros) -> bool {
+        self.peers
+            .state_service_unreachable_for_all(peer_count, now)
     }
 }
--- a/src/membership/peer_heartbeats.rs
+++ b/src/membership/peer_heartbeats.rs
@@ -3,8 +3,8 @@
 //! confirming cancellations and the time of the latest returned redirect.
 
 use super::cancellation_watermark::{
-    CancellationWatermarks, DigestExchange, DigestSource, MAX_DIGEST_ENTRIES, cancellation_digest,
-    held_until,
+    CancellationWatermarks, DigestExchange, DigestInputs, MAX_DIGEST_ENTRIES, cancellation_digest,
+    confirmation_hold_end,
 };
 use super::peers::HeartbeatOrigin;
 use crate::autoscaler::model::MachineState;
@@ -21,11 +21,11 @@
 /// Timeout of a call to a peer.
 const CALL_TIMEOUT: Micros = SECOND;
 /// Maximum number of ready machines in one heartbeat; bounds its size.
-pub const MAX_READY_MACHINES: usize = 500;
+pub const MAX_READY_MACHINES_PER_HEARTBEAT: usize = 500;
 
 impl Controller {
     /// Sends heartbeats to all peers at a fixed interval, until the process ends. Calls run concurrently.
-    pub async fn peer_loop(self: Rc<Controller>) {
+    pub async fn peer_heartbeat_loop(self: Rc<Controller>) {
         loop {
             for peer in self.settings.peers.clone() {
                 let controller = self.clone();
@@ -42,7 +42,7 @@
         let redirected_back = self.workers.redirected_back(&peer.name, self.clock.now());
         let request = self.own_heartbeat(self.watch_cache.current(), redirected_back, None);
         let body = Some(pack(&request));
-        let asked_at = self.clock.now();
+        let requested_at = self.clock.now();
         let response = self
             .http
             .call(
@@ -57,7 +57,7 @@
             .ok()
             .and_then(|response| unpack::<PeerHeartbeat>(&response.body))
         {
-            Some(reply) => self.record_response(&peer.name, asked_at, request.revision, reply),
+            Some(reply) => self.record_response(&peer.name, requested_at, request.revision, reply),
             None => {
                 if self.membership.peers.record_failure(&peer.name) {
                     self.watch_cache.notifier().notify();
@@ -70,16 +70,16 @@
     fn record_response(
         &self,
         peer: &str,
-        asked_at: Micros,
+        requested_at: Micros,
         after_revision: u64,
         response: PeerHeartbeat,
     ) {
         let exchange = DigestExchange {
             peer,
-            asked_at,
-            answered_at: self.clock.now(),
+            requested_at,
+            responded_at: self.clock.now(),
             after_revision,
-            answer: &response,
+            response: &response,
         };
         // Only a response to a request of this controller shows up to which time the peer's digest is
         // complete.
@@ -87,9 +87,9 @@
             .membership
             .watermarks
             .borrow_mut()
-            .record_answer(&exchange);
+            .record_response(&exchange);
         self.watch_cache.merge_cancelled(cancelled);
-        self.record_peer_heartbeat(response, HeartbeatOrigin::ResponseToRequestAt(asked_at));
+        self.record_peer_heartbeat(response, HeartbeatOrigin::ResponseToRequestAt(requested_at));
     }
 
     /// Records a heartbeat if its sender is a peer named in the settings.
@@ -105,7 +105,7 @@
     }
 
     /// Handles a peer's heartbeat and returns the response.
-    pub fn on_peer_heartbeat(&self, body: &[u8]) -> Response {
+    pub fn handle_peer_heartbeat(&self, body: &[u8]) -> Response {
         let Some(heartbeat) = unpack::<PeerHeartbeat>(body) else {
             return Response::status(400);
         };
@@ -119,7 +119,11 @@
         let digest = self.own_digest(state_service_reachable, &heartbeat);
         // The hold takes effect before the response that grants it is sent.
         let confirmations_held_until = &self.membership.confirmations_held_until;
-        confirmations_held_until.set(confirmations_held_until.get().max(held_until(&digest, now)));
+        confirmations_held_until.set(
+            confirmations_held_until
+                .get()
+                .max(confirmation_hold_end(&digest, now)),
+        );
         self.record_peer_heartbeat(heartbeat, HeartbeatOrigin::Unsolicited);
         let response = self.own_heartbeat(state_service_reachable, Vec::new(), Some(digest));
         Response {
@@ -154,14 +158,14 @@
         state_service_reachable: bool,
         request: &PeerHeartbeat,
     ) -> CancellationDigest {
-        let source = DigestSource {
+        let inputs = DigestInputs {
             view: &self.watch_cache.view(),
-            loaded: self.watch_cache.was_loaded(),
+            view_loaded: self.watch_cache.was_loaded(),
             state_service_reachable,
             process_age: self.clock.age(),
             max_entries: MAX_DIGEST_ENTRIES,
         };
-        cancellation_digest(&source, request)
+        cancellation_digest(&inputs, request)
     }
 
     /// Returns this controller's machines that are ready while their records still say that they boot, with
@@ -184,7 +188,7 @@
                         .is_some_and(|record| record.state == MachineState::Booting)
             })
             .map(|(id, machine)| (id.to_string(), machine.session))
-            .take(MAX_READY_MACHINES)
+            .take(MAX_READY_MACHINES_PER_HEARTBEAT)
             .collect()
     }
 
--- a/src/membership/peers.rs
+++ b/src/membership/peers.rs
@@ -76,7 +76,7 @@
 ) -> Option<Micros> {
     match (state_service_reachable, origin) {
         (true, _) => None,
-        (false, HeartbeatOrigin::ResponseToRequestAt(asked_at)) => Some(asked_at),
+        (false, HeartbeatOrigin::ResponseToRequestAt(requested_at)) => Some(requested_at),
         (false, HeartbeatOrigin::Unsolicited) => previous,
     }
 }
@@ -182,7 +182,7 @@
 
     /// Returns whether each of the `peer_count` peers recently responded that it cannot reach the state
     /// service.
-    pub(super) fn common_outage(&self, peer_count: usize, now: Micros) -> bool {
+    pub(super) fn state_service_unreachable_for_all(&self, peer_count: usize, now: Micros) -> bool {
         let states = self.states.borrow();
         states.len() == peer_count
             && states.values().all(|peer| {
--- a/src/membership/peers/tests.rs
+++ b/src/membership/peers/tests.rs
@@ -22,17 +22,20 @@
     let now = 100 * SECOND;
     let table = PeerTable::default();
     record(&table, false, HeartbeatOrigin::Unsolicited);
-    assert!(!table.common_outage(1, now), "no request was sent");
+    assert!(
+        !table.state_service_unreachable_for_all(1, now),
+        "no request was sent"
+    );
     let response = HeartbeatOrigin::ResponseToRequestAt(now - SECOND);
     record(&table, false, response);
-    assert!(table.common_outage(1, now));
+    assert!(table.state_service_unreachable_for_all(1, now));
     record(&table, false, HeartbeatOrigin::Unsolicited);
     assert!(
-        !table.common_outage(1, now + OUTAGE_REPORT_VALIDITY),
+        !table.state_service_unreachable_for_all(1, now + OUTAGE_REPORT_VALIDITY),
         "the request is too old"
     );
     record(&table, true, HeartbeatOrigin::Unsolicited);
-    assert!(!table.common_outage(1, now));
+    assert!(!table.state_service_unreachable_for_all(1, now));
 }
 
 /// A member whose lease has not expired is declared dead only if this controller cannot reach it, at least
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -7,10 +7,10 @@
 /// A storage layout, by number: the one that a controller reads and writes, or the one that all controllers
 /// agreed on.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Version {
+pub struct LayoutVersion {
     /// Number of the layout.
     #[serde(rename = "v")]
-    pub version: u32,
+    pub layout_version: u32,
 }
 
 /// A live controller. Its key is bound to its lease and is deleted when the lease expires.
@@ -21,13 +21,13 @@
     pub lease: u64,
     /// Wall-clock time in microseconds at which this incarnation joined.
     #[serde(rename = "s")]
-    pub since: u64,
+    pub joined_at: u64,
     /// Whether its workers cannot reach it; it then takes no shards.
     #[serde(rename = "h", default)]
     pub unreachable_by_workers: bool,
     /// The layout that it reads and writes; program versions before the second layout omit it.
     #[serde(rename = "v", default)]
-    pub version: u32,
+    pub layout_version: u32,
     /// Number of incarnations of this name that ended in quick succession, up to the previous one.
     #[serde(rename = "e", default, skip_serializing_if = "is_zero")]
     pub restart_count: u32,
@@ -59,11 +59,11 @@
     pub fn new_incarnation(
         previous: Option<&Member>,
         lease: u64,
-        version: u32,
+        layout_version: u32,
         now: Micros,
     ) -> Member {
         let restart_count = match previous.filter(|member| member.lease != lease) {
-            Some(member) if now.saturating_sub(member.since) < RESTART_COUNT_RESET_TIME => {
+            Some(member) if now.saturating_sub(member.joined_at) < RESTART_COUNT_RESET_TIME => {
                 member.restart_count.saturating_add(1)
             }
             Some(_) => 1,
@@ -71,9 +71,9 @@
         };
         Member {
             lease,
-            since: now,
+            joined_at: now,
             unreachable_by_workers: false,
-            version,
+            layout_version,
             restart_count,
         }
     }
@@ -84,7 +84,7 @@
             .restart_count
             .saturating_sub(1)
             .min(MAX_STABILISATION_DOUBLINGS);
-        now.saturating_sub(self.since) >= STABILISATION_TIME << doublings
+        now.saturating_sub(self.joined_at) >= STABILISATION_TIME << doublings
     }
 
     /// Returns whether it recently restarted more than once and may do so again. When it ends, no
--- a/src/membership/shard_assignment.rs
+++ b/src/membership/shard_assignment.rs
@@ -15,7 +15,7 @@
 pub type ShardOwners = BTreeMap<u32, String>;
 
 /// Returns a hash that is the same in all versions and on all machines.
-pub fn hash(text: &str) -> u64 {
+pub fn stable_hash(text: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(text.as_bytes());
     // FNV distributes its low bits poorly over small sets of values; a final multiplicative mix corrects
@@ -26,12 +26,12 @@
 
 /// Returns the shard that a machine belongs to.
 pub fn shard_of(machine: &str) -> u32 {
-    (hash(machine) % u64::from(SHARD_COUNT)) as u32
+    (stable_hash(machine) % u64::from(SHARD_COUNT)) as u32
 }
 
 /// Returns the weight of a controller for a shard in rendezvous hashing.
 fn rendezvous_weight(shard: u32, node: &str) -> u64 {
-    hash(&format!("{shard}@{node}"))
+    stable_hash(&format!("{shard}@{node}"))
 }
 
 /// Returns the desired owner of each shard at the wall-clock time `now`, in microseconds. Live owners keep
--- a/src/membership/shard_assignment/tests.rs
+++ b/src/membership/shard_assignment/tests.rs
@@ -19,7 +19,7 @@
             )).collect();
         let members: BTreeMap<String, Member> = (0..3).filter(|index| alive[*index])
             .map(|index| (names[index].to_string(), Member {
-                lease: index as u64, since: 0, unreachable_by_workers: unreachable[index], version: 0, restart_count: 0
+                lease: index as u64, joined_at: 0, unreachable_by_workers: unreachable[index], layout_version: 0, restart_count: 0
             })).collect();
         let assigned = assign_shards(&shards, &members, STABILISATION_TIME);
         prop_assert_eq!(assigned.len(), if members.is_empty() { 0 } else { SHARD_COUNT as usize });
--- a/src/membership/shard_ownership.rs
+++ b/src/membership/shard_ownership.rs
@@ -103,7 +103,7 @@
 
 /// Returns whether a deployment has only just started and the other controllers are expected to join.
 fn awaits_other_members(view: &ClusterState, member: &Member, now: Micros) -> bool {
-    let just_started = now.saturating_sub(member.since) < STARTUP_GRACE_PERIOD;
+    let just_started = now.saturating_sub(member.joined_at) < STARTUP_GRACE_PERIOD;
     just_started && view.members.len() == 1 && view.shards.is_empty()
 }
 
--- a/src/reconciliation/planning.rs
+++ b/src/reconciliation/planning.rs
@@ -131,7 +131,10 @@
         }
         let session = match record.state {
             MachineState::Up => record.session,
-            _ => self.controller.membership.ready_at_peer(id, self.now)?,
+            _ => self
+                .controller
+                .membership
+                .ready_session_at_peer(id, self.now)?,
         };
         Some(SchedulableMachine {
             session,
--- a/src/store/cluster_state/mod.rs
+++ b/src/store/cluster_state/mod.rs
@@ -35,7 +35,7 @@
 use crate::fairness::{Counts, PriorityBoosts};
 use crate::ids::MachineId;
 use crate::jobs::model::{FinishedJob, JobId, MachineUsage, Placement, StoredBlock, TaskBlock};
-use crate::membership::{Leader, Member, Shard, Version};
+use crate::membership::{LayoutVersion, Leader, Member, Shard};
 use crate::store::keys;
 use crate::wire::cloud::MachineType;
 use crate::wire::state::Precondition;
@@ -69,10 +69,10 @@
     dependents: HashMap<JobId, BTreeSet<JobId>>,
     /// Final states of jobs on which unfinished jobs depend. Kept as long as these unfinished jobs exist.
     finished_dependencies: HashMap<JobId, FinishedJob>,
-    /// Software version of each controller at its start, by controller name.
-    pub versions: BTreeMap<String, Version>,
+    /// Layout version that each controller recorded as supported, by controller name.
+    pub versions: BTreeMap<String, LayoutVersion>,
     /// Newer layout of stored values. Set once every controller in the settings can read it.
-    pub layout: Option<Version>,
+    pub layout: Option<LayoutVersion>,
     /// Machines, as determined by their keys, scale-out requests and termination batches together.
     pub machines: BTreeMap<MachineId, MachineRecord>,
     /// Scale-out requests, by name.
--- a/src/workers/machine_records.rs
+++ b/src/workers/machine_records.rs
@@ -15,7 +15,7 @@
 };
 use crate::controller::Controller;
 use crate::ids::MachineId;
-use crate::membership::{MAX_READY_MACHINES, shard_of};
+use crate::membership::{MAX_READY_MACHINES_PER_HEARTBEAT, shard_of};
 use crate::store::client::TransactionOutcome;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
@@ -339,7 +339,7 @@
         record.is_some_and(|r| r.state == MachineState::Booting)
     };
     let booting = machines.keys().filter(is_booting).count();
-    match view.layout.is_some() && booting <= MAX_READY_MACHINES {
+    match view.layout.is_some() && booting <= MAX_READY_MACHINES_PER_HEARTBEAT {
         true => MAX_READY_WRITE_DELAY_PEERS_AWARE,
         false => MAX_READY_WRITE_DELAY,
     }
--- a/src/workers/registry.rs
+++ b/src/workers/registry.rs
@@ -211,6 +211,6 @@
                 && now.saturating_sub(worker.probes.last_failed_at) > RAISE_TERM_DELAY
         });
         self.membership
-            .raise_terms(blocked.map(|(id, _)| shard_of(id)));
+            .set_pending_term_increments(blocked.map(|(id, _)| shard_of(id)));
     }
 }
--- a/tests/concurrent_failures/digests.rs
+++ b/tests/concurrent_failures/digests.rs
@@ -4,7 +4,8 @@
 use crate::world::job_id;
 use coppergw::jobs::model::{JobRecord, TaskBlock, TaskState};
 use coppergw::membership::cancellation_watermark::{
-    CONFIRMATION_HOLD, CancellationWatermarks, DigestExchange, DigestSource, cancellation_digest,
+    CONFIRMATION_HOLD_TIME, CancellationWatermarks, DigestExchange, DigestInputs,
+    cancellation_digest,
 };
 use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
@@ -53,9 +54,9 @@
 
 /// Returns the digest of a controller that started one second ago.
 fn digest(case: Case) -> CancellationDigest {
-    let source = DigestSource {
+    let inputs = DigestInputs {
         view: &view_with_three_cancellations(),
-        loaded: case.loaded,
+        view_loaded: case.loaded,
         state_service_reachable: case.state_service_reachable,
         process_age: SECOND,
         max_entries: case.max_entries,
@@ -65,11 +66,11 @@
         state_service_reachable: case.requester_reaches_state_service,
         ..PeerHeartbeat::default()
     };
-    cancellation_digest(&source, &request)
+    cancellation_digest(&inputs, &request)
 }
 
-/// Returns an answer of the peer "b", which does not reach the state service.
-fn answer_with(digest: CancellationDigest) -> PeerHeartbeat {
+/// Returns a response of the peer "b", which does not reach the state service.
+fn response_with(digest: CancellationDigest) -> PeerHeartbeat {
     PeerHeartbeat {
         node: "b".into(),
         digest: Some(digest),
@@ -79,16 +80,16 @@
 
 /// Returns the exchange of a request with the peer "b".
 fn exchange(
-    (asked_at, answered_at): (Micros, Micros),
+    (requested_at, responded_at): (Micros, Micros),
     after_revision: u64,
-    answer: &PeerHeartbeat,
+    response: &PeerHeartbeat,
 ) -> DigestExchange<'_> {
     DigestExchange {
         peer: "b",
-        asked_at,
-        answered_at,
+        requested_at,
+        responded_at,
         after_revision,
-        answer,
+        response,
     }
 }
 
@@ -98,10 +99,10 @@
 }
 
 /// Returns the number of cancellations merged and the watermark in seconds, for a request sent at 20 s.
-fn recorded(answer: &PeerHeartbeat, after_revision: u64) -> (usize, u64) {
+fn recorded(response: &PeerHeartbeat, after_revision: u64) -> (usize, u64) {
     let mut watermarks = CancellationWatermarks::default();
-    let exchange = exchange((20 * SECOND, 21 * SECOND), after_revision, answer);
-    let cancelled = watermarks.record_answer(&exchange).len();
+    let exchange = exchange((20 * SECOND, 21 * SECOND), after_revision, response);
+    let cancelled = watermarks.record_response(&exchange).len();
     (cancelled, watermark(&watermarks))
 }
 
@@ -112,45 +113,45 @@
 /// not reach the state service either. The cancellations of a matching digest are merged in any case.
 #[test]
 fn digest_acceptance() {
-    let answer_to = |after, max_entries| {
-        answer_with(digest(Case {
+    let response_to = |after, max_entries| {
+        response_with(digest(Case {
             after,
             max_entries,
             ..DEFAULT_CASE
         }))
     };
-    assert_eq!(recorded(&answer_to(1, 9), 1), (3, 20));
-    assert_eq!(recorded(&answer_to(3, 9), 3), (1, 20));
-    assert_eq!(recorded(&answer_to(4, 9), 4), (0, 20));
-    assert_eq!(recorded(&answer_to(1, 2), 1), (2, 0), "cut");
+    assert_eq!(recorded(&response_to(1, 9), 1), (3, 20));
+    assert_eq!(recorded(&response_to(3, 9), 3), (1, 20));
+    assert_eq!(recorded(&response_to(4, 9), 4), (0, 20));
+    assert_eq!(recorded(&response_to(1, 2), 1), (2, 0), "cut");
     assert_eq!(
-        recorded(&answer_to(2, 9), 1),
+        recorded(&response_to(2, 9), 1),
         NO_EFFECT,
         "digest of another request"
     );
     let changed = |change: &dyn Fn(&mut PeerHeartbeat)| {
-        let mut answer = answer_to(1, 9);
-        change(&mut answer);
-        recorded(&answer, 1)
+        let mut response = response_to(1, 9);
+        change(&mut response);
+        recorded(&response, 1)
     };
     assert_eq!(
-        changed(&|answer| answer.node = "c".into()),
+        changed(&|response| response.node = "c".into()),
         NO_EFFECT,
-        "answer of another node"
+        "response of another node"
     );
     assert_eq!(
-        changed(&|answer| answer.digest = None),
+        changed(&|response| response.digest = None),
         NO_EFFECT,
         "no digest, as from the previous version"
     );
     assert_eq!(
-        changed(&|answer| answer.state_service_reachable = true),
+        changed(&|response| response.state_service_reachable = true),
         (3, 0)
     );
     let with_entry = |id: &str, revision| {
         let entry = (id.to_string(), revision);
-        changed(&|answer| {
-            let digest = answer.digest.as_mut().expect("digest");
+        changed(&|response| {
+            let digest = response.digest.as_mut().expect("digest");
             digest.cancelled.push(entry.clone());
         })
     };
@@ -163,7 +164,7 @@
 }
 
 /// A confirmation hold is granted only between controllers that do not reach the state service, and none counts for
-/// longer than `CONFIRMATION_HOLD`.
+/// longer than `CONFIRMATION_HOLD_TIME`.
 #[test]
 fn confirmation_hold_acceptance() {
     let case = |max_entries, state_service_reachable, requester_reaches_state_service| Case {
@@ -176,7 +177,7 @@
     let hold = |max_entries, reachable, requester_reaches| {
         digest(case(max_entries, reachable, requester_reaches)).hold
     };
-    assert_eq!(hold(9, false, false), CONFIRMATION_HOLD);
+    assert_eq!(hold(9, false, false), CONFIRMATION_HOLD_TIME);
     assert_eq!(hold(9, true, false), 0);
     assert_eq!(
         hold(9, false, true),
@@ -193,14 +194,14 @@
         (0, 0)
     );
     assert_eq!(
-        recorded(&answer_with(for_revision_0), 0),
+        recorded(&response_with(for_revision_0), 0),
         NO_EFFECT,
         "request for revision 0"
     );
     let mut held_digest = digest(case(9, false, false));
-    assert_eq!(recorded(&answer_with(held_digest.clone()), 2), (2, 31));
-    held_digest.hold = 1000 * CONFIRMATION_HOLD;
-    assert_eq!(recorded(&answer_with(held_digest), 2), (2, 31));
+    assert_eq!(recorded(&response_with(held_digest.clone()), 2), (2, 31));
+    held_digest.hold = 1000 * CONFIRMATION_HOLD_TIME;
+    assert_eq!(recorded(&response_with(held_digest), 2), (2, 31));
 }
 
 /// An incarnation that has not read the state service reports its age. Its digest counts only if it started within
@@ -219,16 +220,20 @@
         (unloaded.cancelled.len(), unloaded.process_age),
         (0, Some(SECOND))
     );
-    assert_eq!(recorded(&answer_with(unloaded.clone()), 1), NO_EFFECT);
+    assert_eq!(recorded(&response_with(unloaded.clone()), 1), NO_EFFECT);
     let mut old = unloaded.clone();
     old.process_age = Some(u64::MAX);
-    assert_eq!(recorded(&answer_with(old), 1), NO_EFFECT);
+    assert_eq!(recorded(&response_with(old), 1), NO_EFFECT);
     let watermark_after_restart = |at: Micros| {
         let mut watermarks = CancellationWatermarks::default();
-        let answer_with_hold = answer_with(digest(without_state));
-        watermarks.record_answer(&exchange((20 * SECOND, 21 * SECOND), 1, &answer_with_hold));
-        let restarted = answer_with(unloaded.clone());
-        watermarks.record_answer(&exchange((at, at), 1, &restarted));
+        let response_with_hold = response_with(digest(without_state));
+        watermarks.record_response(&exchange(
+            (20 * SECOND, 21 * SECOND),
+            1,
+            &response_with_hold,
+        ));
+        let restarted = response_with(unloaded.clone());
+        watermarks.record_response(&exchange((at, at), 1, &restarted));
         watermark(&watermarks)
     };
     assert_eq!(watermark_after_restart(32 * SECOND), 43);
@@ -248,9 +253,9 @@
         view.put(&keys::job(&format!("req-{number:06}")), &value, number);
     }
     let complete = |revision| {
-        let source = DigestSource {
+        let inputs = DigestInputs {
             view: &view,
-            loaded: true,
+            view_loaded: true,
             state_service_reachable: false,
             process_age: SECOND,
             max_entries: 100_000,
@@ -259,7 +264,7 @@
             revision,
             ..PeerHeartbeat::default()
         };
-        cancellation_digest(&source, &request).complete
+        cancellation_digest(&inputs, &request).complete
     };
     assert!(!complete(0));
     assert!(!complete(4));
--- a/tests/concurrent_failures/main.rs
+++ b/tests/concurrent_failures/main.rs
@@ -7,7 +7,7 @@
 mod digests;
 mod world;
 
-use coppergw::membership::cancellation_watermark::CONFIRMATION_HOLD;
+use coppergw::membership::cancellation_watermark::CONFIRMATION_HOLD_TIME;
 use coppergw::time::SECOND;
 use proptest::prelude::*;
 use world::{CANCEL_TIMEOUT, DigestSize, TASK_COUNT, World, job_id};
@@ -195,7 +195,7 @@
     world.outage = false;
     world.cancel(1, 0);
     assert_eq!(world.confirmed_at[0], None);
-    world.rounds(CONFIRMATION_HOLD / SECOND + 1);
+    world.rounds(CONFIRMATION_HOLD_TIME / SECOND + 1);
     world.cancel(1, 0);
     assert_eq!(world.confirmed_at[0], Some(world.now));
     world.rounds(110);
@@ -211,8 +211,8 @@
     let cancelled = |world: &mut World, node: usize, to: usize| {
         world.send_peer_request(node, to);
         world.answer_peer_request(node, 0);
-        let answer = world.controllers[node].peer_requests[0].answer.clone();
-        let digest = answer.and_then(|answer| answer.digest);
+        let response = world.controllers[node].peer_requests[0].response.clone();
+        let digest = response.and_then(|response| response.digest);
         world.receive_answer(node, 0);
         digest.expect("loaded").cancelled.len()
     };
@@ -234,7 +234,7 @@
     world.rounds(10);
     (world.controllers[0].refused, world.controllers[2].refused) = (true, true);
     world.outage = false;
-    world.rounds(CONFIRMATION_HOLD / SECOND + 1);
+    world.rounds(CONFIRMATION_HOLD_TIME / SECOND + 1);
     world.cancel(1, 0);
     assert_eq!(world.confirmed_at[0], Some(world.now));
     world.outage = true;
--- a/tests/concurrent_failures/world.rs
+++ b/tests/concurrent_failures/world.rs
@@ -7,7 +7,8 @@
 use coppergw::jobs::model::{JobRecord, Placement, TaskBlock, TaskState};
 use coppergw::jobs::pipelines::answer;
 use coppergw::membership::cancellation_watermark::{
-    CancellationWatermarks, DigestExchange, DigestSource, cancellation_digest, held_until,
+    CancellationWatermarks, DigestExchange, DigestInputs, cancellation_digest,
+    confirmation_hold_end,
 };
 use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
@@ -38,9 +39,9 @@
 #[derive(Clone)]
 pub(crate) struct PeerRequest {
     to: usize,
-    asked_at: Micros,
+    requested_at: Micros,
     heartbeat: PeerHeartbeat,
-    pub answer: Option<PeerHeartbeat>,
+    pub response: Option<PeerHeartbeat>,
 }
 
 pub(crate) struct Controller {
@@ -57,14 +58,14 @@
     read: Option<Read>,
     pub peer_requests: Vec<PeerRequest>,
     /// End of the confirmation hold: this controller confirms no cancellation before.
-    held_until: Micros,
+    confirmation_hold_end: Micros,
 }
 
 impl Controller {
     fn started(now: Micros) -> Controller {
         Controller {
             started_at: now,
-            held_until: 0,
+            confirmation_hold_end: 0,
             view: ClusterState::default(),
             log_position: 0,
             loaded: false,
@@ -199,7 +200,7 @@
         let controller = &self.controllers[node];
         if !self.reaches_state_service(node)
             || !controller.loaded
-            || self.now < controller.held_until
+            || self.now < controller.confirmation_hold_end
         {
             return;
         }
@@ -224,7 +225,7 @@
         let controller = &self.controllers[node];
         let status = answer(&controller.view, &job_id(task));
         if status.is_some_and(|answer| answer.status == Status::Cancelled)
-            && self.now >= controller.held_until
+            && self.now >= controller.confirmation_hold_end
         {
             self.confirmed_at[task].get_or_insert(self.now);
         }
@@ -238,12 +239,12 @@
             revision: self.controllers[node].view.revision,
             ..PeerHeartbeat::default()
         };
-        let asked_at = self.now;
+        let requested_at = self.now;
         self.controllers[node].peer_requests.push(PeerRequest {
             to,
-            asked_at,
+            requested_at,
             heartbeat,
-            answer: None,
+            response: None,
         });
     }
 
@@ -258,49 +259,50 @@
             .peer_requests
             .get(index % count)
             .cloned();
-        let Some(request) = request.filter(|request| request.answer.is_none()) else {
+        let Some(request) = request.filter(|request| request.response.is_none()) else {
             return;
         };
         let peer = &self.controllers[request.to];
         let state_service_reachable = self.state_service_reachable(request.to);
-        let source = DigestSource {
+        let inputs = DigestInputs {
             view: &peer.view,
-            loaded: peer.last_read_at > 0,
+            view_loaded: peer.last_read_at > 0,
             state_service_reachable,
             process_age: self.now - peer.started_at,
             max_entries,
         };
-        let digest = cancellation_digest(&source, &request.heartbeat);
-        let held_until = held_until(&digest, self.now).max(peer.held_until);
-        let answer = PeerHeartbeat {
+        let digest = cancellation_digest(&inputs, &request.heartbeat);
+        let confirmation_hold_end =
+            confirmation_hold_end(&digest, self.now).max(peer.confirmation_hold_end);
+        let response = PeerHeartbeat {
             node: NODE_NAMES[request.to].into(),
             state_service_reachable,
             revision: peer.view.revision,
             digest: Some(digest),
             ..PeerHeartbeat::default()
         };
-        self.controllers[request.to].held_until = held_until;
-        self.controllers[node].peer_requests[index % count].answer = Some(answer);
+        self.controllers[request.to].confirmation_hold_end = confirmation_hold_end;
+        self.controllers[node].peer_requests[index % count].response = Some(response);
     }
 
-    /// Delivers the answer to a request.
+    /// Delivers the response to a request.
     pub(crate) fn receive_answer(&mut self, node: usize, index: usize) {
-        let answered_at = self.now;
+        let responded_at = self.now;
         let controller = &mut self.controllers[node];
         let count = controller.peer_requests.len().max(1);
         let request = controller.peer_requests.get(index % count);
-        if request.is_none_or(|request| request.answer.is_none()) {
+        if request.is_none_or(|request| request.response.is_none()) {
             return;
         }
         let request = controller.peer_requests.remove(index % count);
         let exchange = DigestExchange {
             peer: NODE_NAMES[request.to],
-            asked_at: request.asked_at,
-            answered_at,
+            requested_at: request.requested_at,
+            responded_at,
             after_revision: request.heartbeat.revision,
-            answer: &request.answer.expect("answered"),
+            response: &request.response.expect("answered"),
         };
-        for (id, revision) in controller.watermarks.record_answer(&exchange) {
+        for (id, revision) in controller.watermarks.record_response(&exchange) {
             controller.view.merge_cancelled(id, *revision);
         }
     }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -19,7 +19,7 @@
 use coppergw::jobs::model::{
     FinishedJob, JobIdList, JobRecord, StoredBlock, StoredJobRecord, TaskBlock, validate,
 };
-use coppergw::membership::{Leader, Member, Shard, Version};
+use coppergw::membership::{LayoutVersion, Leader, Member, Shard};
 use coppergw::scheduling::pending_reason::PendingReason;
 use coppergw::settings::{ObjectiveKind, Settings, StateLimits};
 use coppergw::store::cluster_state::ClusterState;
@@ -203,7 +203,7 @@
     golden.check_stored::<String>("team", Full);
     golden.check_stored::<Vec<cloud::MachineType>>("types", FullAndSparse);
     golden.check_stored::<cloud::MachineType>("type", FullAndSparse);
-    golden.check_stored::<Version>("version", Full);
+    golden.check_stored::<LayoutVersion>("version", Full);
     golden.check_stored::<Member>("member", FullAndSparse);
     golden.check_stored::<Leader>("leader", Full);
     golden.check_stored::<Shard>("part", Full);
--- a/tests/incarnations.rs
+++ b/tests/incarnations.rs
@@ -217,7 +217,7 @@
                     claim_shards(&claim, &mut HashSet::default())
                 }
                 _ => match leader_status(view, &view.members, incarnation, self.now) {
-                    LeaderStatus::Vacant(claim) => Some(claim),
+                    LeaderStatus::NoLeader(claim) => Some(claim),
                     LeaderStatus::Leading | LeaderStatus::Following => None,
                 },
             };
--- a/tests/invariants/controllers.rs
+++ b/tests/invariants/controllers.rs
@@ -34,9 +34,9 @@
             self.controllers[controller_index].lease = self.last_lease_id;
             let member = Member {
                 lease: self.last_lease_id,
-                since: 0,
+                joined_at: 0,
                 unreachable_by_workers: false,
-                version: 0,
+                layout_version: 0,
                 restart_count: 0,
             };
             self.store.put(key, &member);
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -17,7 +17,7 @@
     TaskBlock, TaskState,
 };
 use coppergw::jobs::pipelines::{DependencyCheck, answer, check_dependencies};
-use coppergw::membership::{LAYOUT_VERSION, Member, Version, all_support_layout};
+use coppergw::membership::{LAYOUT_VERSION, LayoutVersion, Member, all_support_layout};
 use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
 use coppergw::wire::state::{Mutation, Transaction};
@@ -250,22 +250,22 @@
         if new_version {
             self.put(
                 keys::version(&controller_name(controller)),
-                &Version {
-                    version: LAYOUT_VERSION,
+                &LayoutVersion {
+                    layout_version: LAYOUT_VERSION,
                 },
             );
         }
         let members = (0..CONTROLLER_COUNT).map(|controller| {
-            let version = if self.controllers[controller].new_version {
+            let layout_version = if self.controllers[controller].new_version {
                 LAYOUT_VERSION
             } else {
                 0
             };
             let member = Member {
                 lease: 1,
-                since: 0,
+                joined_at: 0,
                 unreachable_by_workers: false,
-                version,
+                layout_version,
                 restart_count: 0,
             };
             (controller_name(controller), member)
@@ -279,8 +279,8 @@
         {
             self.put(
                 keys::LAYOUT.into(),
-                &Version {
-                    version: LAYOUT_VERSION,
+                &LayoutVersion {
+                    layout_version: LAYOUT_VERSION,
                 },
             );
         }
@@ -923,12 +923,12 @@
 /// that stopped before its upgrade restarts with the old version, whichever members are alive at the time.
 #[test]
 fn the_layout_changes_only_when_all_controllers_support_it() {
-    let version = |n: u32| Version { version: n };
-    let member = |version| Member {
+    let version = |n: u32| LayoutVersion { layout_version: n };
+    let member = |layout_version| Member {
         lease: 1,
-        since: 0,
+        joined_at: 0,
         unreachable_by_workers: false,
-        version,
+        layout_version,
         restart_count: 0,
     };
     let names = ["a", "b", "c"];
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -9,7 +9,7 @@
 use coppergw::ids::MachineId;
 use coppergw::jobs::commit::{JobChange, stage};
 use coppergw::jobs::model::{JobRecord, JobSpec, Resources, TaskBlock, TaskState};
-use coppergw::membership::{SHARD_COUNT, Shard, hash, shard_of};
+use coppergw::membership::{SHARD_COUNT, Shard, shard_of, stable_hash};
 use coppergw::policy::Policy;
 use coppergw::scheduling::pending_reason::{PendingReason, pending_reason};
 use coppergw::scheduling::{SchedulableMachine, Schedule, SchedulingInput, schedule};
@@ -382,7 +382,7 @@
                 failed_machines.entry(format!("m-{machine:06}").as_str().into()).or_insert(step);
             }
             for (controller, view) in views.iter_mut().enumerate() {
-                let lag = hash(&format!("{seed}/{step}/{controller}")) % 6;
+                let lag = stable_hash(&format!("{seed}/{step}/{controller}")) % 6;
                 cluster.catch_up(view, cluster.store.rev.saturating_sub(lag).max(view.revision));
             }
             for controller in 0..3u32 {
@@ -396,7 +396,7 @@
                     let removed = failed_machines.get(machine).map(|at| step > at + 3);
                     for ((id, index), placement) in tasks {
                         let service = view.jobs[id].spec.kind == JobKind::Service;
-                        let draw = hash(&format!("{seed}/{step}/{id}/{index}")) % 5;
+                        let draw = stable_hash(&format!("{seed}/{step}/{id}/{index}")) % 5;
                         let done = removed.is_none() && !service && draw == 0;
                         if done || removed == Some(true) {
                             let (job, attempt) = (id.clone(), placement.attempt);
