--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -306,9 +306,11 @@
             priority: spec.priority,
             horizon_s,
             work_s: job.work_s(),
-            quota: quota::at_once(forecast.teams, spec, team_use).map(|tasks| QuotaLimit {
-                team: &spec.team,
-                machines: tasks as f64 / job.tasks_per_machine,
+            quota: quota::max_concurrent_tasks(forecast.teams, spec, team_use).map(|tasks| {
+                QuotaLimit {
+                    team: &spec.team,
+                    machines: tasks as f64 / job.tasks_per_machine,
+                }
             }),
         });
         if job.unplaced > 0 && waited > OVERDUE_WAIT_TIME {
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -44,9 +44,9 @@
 
 /// Class of a task within its team's limit, which determines the reservations that the task must respect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum QuotaVerdict<'a> {
+pub enum QuotaClass<'a> {
     /// High priority: takes precedence over all reservations.
-    WithinGuarantee,
+    HighPriority,
     /// Within the minimum share of a starved class.
     MinimumShare,
     /// A gang.
@@ -65,7 +65,7 @@
 
 impl<'a> QuotaLedger<'a> {
     /// Returns a ledger of the placed tasks and of the waiting tasks that may start.
-    pub fn open(view: &'a ClusterState, teams: &'a [Team]) -> QuotaLedger<'a> {
+    pub fn new(view: &'a ClusterState, teams: &'a [Team]) -> QuotaLedger<'a> {
         let mut usage: HashMap<&str, TeamUsage> = HashMap::default();
         for (team, placed) in &view.indexes().teams {
             let team_usage = usage.entry(team).or_default();
@@ -109,7 +109,7 @@
     }
 
     /// Returns whether all unfinished jobs of a team fit into its guarantee together.
-    pub fn entitled(&self, name: &str) -> bool {
+    pub fn fits_guarantee(&self, name: &str) -> bool {
         let usage = self.usage(name);
         self.team(name).is_some_and(|team| {
             (team.cpus > 0 || team.gpus > 0)
@@ -120,7 +120,7 @@
     }
 
     /// Returns whether a team's limit keeps some of its work waiting.
-    pub fn binds(&self, name: &str) -> bool {
+    pub fn limit_is_binding(&self, name: &str) -> bool {
         let usage = self.usage(name);
         let exceeds_limit = |max, demand| max > 0 && demand > max;
         self.team(name).is_some_and(|team| {
@@ -156,7 +156,7 @@
     }
 
     /// Prevents further gangs of a team from starting.
-    pub fn close_gangs(&mut self, team: &'a str) {
+    pub fn block_further_gangs(&mut self, team: &'a str) {
         self.reservations
             .entry(team)
             .or_default()
@@ -164,7 +164,7 @@
     }
 
     /// Returns how many more tasks of a job may start within its team's limit.
-    pub fn headroom(&self, spec: &JobSpec, verdict: QuotaVerdict<'_>) -> i64 {
+    pub fn headroom(&self, spec: &JobSpec, class: QuotaClass<'_>) -> i64 {
         let usage = self.usage(&spec.team);
         let mut used = Resources {
             cpus: usage.cpus,
@@ -172,31 +172,31 @@
             memory: 0,
         };
         if let Some(reserved) = self.reservations.get(&*spec.team) {
-            if reserved.further_gangs_blocked && matches!(verdict, QuotaVerdict::Gang(_)) {
+            if reserved.further_gangs_blocked && matches!(class, QuotaClass::Gang(_)) {
                 return 0;
             }
-            if verdict != QuotaVerdict::WithinGuarantee {
+            if class != QuotaClass::HighPriority {
                 used.add(&reserved.high_priority);
             }
-            if verdict == QuotaVerdict::Ordinary {
+            if class == QuotaClass::Ordinary {
                 used.add(&reserved.minimum_share);
             }
             if let Some(gang) = &reserved.gang {
-                match verdict {
-                    QuotaVerdict::Gang(id) if *id == gang.id => {
+                match class {
+                    QuotaClass::Gang(id) if *id == gang.id => {
                         used.subtract(&gang.released_before_start);
                     }
-                    QuotaVerdict::Gang(_) if !gang.blocks_other_gangs => {}
-                    QuotaVerdict::Gang(_) | QuotaVerdict::Ordinary => used.add(&gang.resources),
-                    QuotaVerdict::WithinGuarantee | QuotaVerdict::MinimumShare => {}
+                    QuotaClass::Gang(_) if !gang.blocks_other_gangs => {}
+                    QuotaClass::Gang(_) | QuotaClass::Ordinary => used.add(&gang.resources),
+                    QuotaClass::HighPriority | QuotaClass::MinimumShare => {}
                 }
             }
         }
-        at_once(self.teams, spec, &used).unwrap_or(i64::MAX)
+        max_concurrent_tasks(self.teams, spec, &used).unwrap_or(i64::MAX)
     }
 
     /// Counts tasks of a job as started, and no longer as reserved.
-    pub fn start(&mut self, spec: &'a JobSpec, tasks: i64, verdict: QuotaVerdict<'_>) {
+    pub fn record_started(&mut self, spec: &'a JobSpec, tasks: i64, class: QuotaClass<'_>) {
         let started = spec.resources.for_tasks(tasks);
         let usage = self.usage.entry(&spec.team).or_default();
         usage.cpus += started.cpus;
@@ -208,22 +208,26 @@
             reservation.cpus = (reservation.cpus - started.cpus).max(0);
             reservation.gpus = (reservation.gpus - started.gpus).max(0);
         };
-        match verdict {
-            QuotaVerdict::WithinGuarantee => release_reservation(&mut reserved.high_priority),
-            QuotaVerdict::MinimumShare => release_reservation(&mut reserved.minimum_share),
-            QuotaVerdict::Gang(id)
+        match class {
+            QuotaClass::HighPriority => release_reservation(&mut reserved.high_priority),
+            QuotaClass::MinimumShare => release_reservation(&mut reserved.minimum_share),
+            QuotaClass::Gang(id)
                 if tasks > 0 && reserved.gang.as_ref().is_some_and(|gang| gang.id == *id) =>
             {
                 reserved.gang = None;
             }
-            QuotaVerdict::Gang(_) | QuotaVerdict::Ordinary => {}
+            QuotaClass::Gang(_) | QuotaClass::Ordinary => {}
         }
     }
 }
 
 /// Returns how many tasks of a job its team may run at the same time in addition to `other_usage`; `None`
 /// if nothing limits them.
-pub fn at_once(teams: &[Team], spec: &JobSpec, other_usage: &Resources) -> Option<i64> {
+pub fn max_concurrent_tasks(
+    teams: &[Team],
+    spec: &JobSpec,
+    other_usage: &Resources,
+) -> Option<i64> {
     let team = teams.iter().find(|team| team.name == spec.team)?;
     let amounts = [
         (team.cpus_max, other_usage.cpus, spec.resources.cpus),
--- a/src/scheduling/gang_reservation.rs
+++ b/src/scheduling/gang_reservation.rs
@@ -53,7 +53,7 @@
         if running.gangs.cpus as f64 > all_cpus as f64 * minimum_share::SHARE {
             // Arrays take the released quota, so machines provisioned for a gang would be idle.
             if input.forecast {
-                quotas.close_gangs(&spec.team);
+                quotas.block_further_gangs(&spec.team);
             }
         } else if input.forecast {
             quotas.reserve_for_gang(gang.id, spec, true, running.arrays);
@@ -75,7 +75,7 @@
         if job.spec.kind == JobKind::Gang
             && job.queued() == job.spec.task_count
             && age > QUOTA_RESERVATION_DELAY
-            && quotas.binds(&job.spec.team)
+            && quotas.limit_is_binding(&job.spec.team)
         {
             let gang = WaitingGang { age, id, job };
             let first = next.entry(&job.spec.team).or_insert(gang);
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -34,7 +34,7 @@
 /// Computes a schedule.
 pub fn schedule(input: &SchedulingInput<'_>) -> Schedule {
     let mut schedule = Schedule::default();
-    let mut quotas = QuotaLedger::open(input.view, input.teams);
+    let mut quotas = QuotaLedger::new(input.view, input.teams);
     let gpu_demand = GpuDemand::of(input.view, queue::includes_all_kinds(input));
     if !input.forecast {
         draining::drain_machines(input, &mut schedule.changes);
--- a/src/scheduling/queue.rs
+++ b/src/scheduling/queue.rs
@@ -6,7 +6,7 @@
 use crate::fairness::PriorityBoost;
 use crate::fairness::service_levels;
 use crate::jobs::model::JobId;
-use crate::quota::{QuotaLedger, QuotaVerdict};
+use crate::quota::{QuotaClass, QuotaLedger};
 use crate::settings::ObjectiveKind;
 use crate::store::cluster_state::Job;
 use crate::time::{Micros, SECOND};
@@ -40,7 +40,7 @@
     /// Number of tasks in this entry.
     pub(super) count: usize,
     /// Whether all unfinished jobs of the team together fit into its guarantee.
-    pub(super) entitled: bool,
+    pub(super) fits_guarantee: bool,
     /// Whether this controller owns the job; always true for gangs, which only the controller that places
     /// gangs has in its queue.
     pub(super) owned: bool,
@@ -54,12 +54,12 @@
 
 impl<'a> QueueEntry<'a> {
     /// Returns the category of these tasks for their team's quota.
-    pub(super) fn quota_verdict(&self) -> QuotaVerdict<'a> {
+    pub(super) fn quota_class(&self) -> QuotaClass<'a> {
         match self.job.spec.kind {
-            JobKind::Gang => QuotaVerdict::Gang(self.id),
-            _ if self.job.spec.priority <= Priority::High => QuotaVerdict::WithinGuarantee,
-            _ if self.minimum_share => QuotaVerdict::MinimumShare,
-            _ => QuotaVerdict::Ordinary,
+            JobKind::Gang => QuotaClass::Gang(self.id),
+            _ if self.job.spec.priority <= Priority::High => QuotaClass::HighPriority,
+            _ if self.minimum_share => QuotaClass::MinimumShare,
+            _ => QuotaClass::Ordinary,
         }
     }
 
@@ -70,8 +70,8 @@
     }
 
     fn queue_order(&self, other: &QueueEntry<'_>) -> Ordering {
-        (!self.entitled, self.priority, !self.minimum_share)
-            .cmp(&(!other.entitled, other.priority, !other.minimum_share))
+        (!self.fits_guarantee, self.priority, !self.minimum_share)
+            .cmp(&(!other.fits_guarantee, other.priority, !other.minimum_share))
             .then(other.first_start.cmp(&self.first_start))
             .then_with(|| self.first_start_order(other))
             .then(
@@ -148,7 +148,7 @@
     queue: &mut Vec<QueueEntry<'a>>,
 ) {
     let gang = job.spec.kind == JobKind::Gang;
-    let entitled = quotas.entitled(&job.spec.team);
+    let fits_guarantee = quotas.fits_guarantee(&job.spec.team);
     let (priority, position) = priority_and_position(input, job);
     let owned = gang || (input.owns_job)(id);
     let waiting = job.waiting as usize;
@@ -175,7 +175,7 @@
                 boost_level,
                 waiting_offset,
                 count,
-                entitled,
+                fits_guarantee,
                 owned,
                 priority,
                 position,
--- a/src/scheduling/scheduler.rs
+++ b/src/scheduling/scheduler.rs
@@ -131,7 +131,7 @@
 
     fn place_entry(&mut self, entry: &QueueEntry<'a>) {
         let spec = &entry.job.spec;
-        let headroom = self.quotas.headroom(spec, entry.quota_verdict());
+        let headroom = self.quotas.headroom(spec, entry.quota_class());
         let count = entry.count as u32;
         let permitted = u32::try_from(headroom).unwrap_or(u32::MAX).min(count);
         if permitted < count {
@@ -244,7 +244,7 @@
             .saturating_sub(entry.job.waiting_since);
         !self.input.forecast
             && (entry.owned || age > NON_OWNER_PREEMPTION_DELAY)
-            && (entry.job.spec.priority <= Priority::High || entry.entitled)
+            && (entry.job.spec.priority <= Priority::High || entry.fits_guarantee)
     }
 
     /// Returns whether earlier entries showed that no machine has free resources for these tasks and that
@@ -334,7 +334,7 @@
         let expected = if input.forecast { unplaced } else { 0 };
         let started = assignments.len() as i64 + i64::from(expected);
         self.quotas
-            .start(&entry.job.spec, started, entry.quota_verdict());
+            .record_started(&entry.job.spec, started, entry.quota_class());
         if !assignments.is_empty() && !input.forecast {
             if input
                 .write_limit
--- a/src/scheduling/starvation.rs
+++ b/src/scheduling/starvation.rs
@@ -45,7 +45,7 @@
         return;
     }
     let teams = input.teams.iter().map(|team| &*team.name);
-    let scopes = Scopes(teams.filter(|team| quotas.binds(team)).collect());
+    let scopes = Scopes(teams.filter(|team| quotas.limit_is_binding(team)).collect());
     let demands = class_demands(input, &scopes);
     let mut remaining_shares = minimum_shares(input, &demands, quotas);
     prioritize_entries(input, &scopes, &mut remaining_shares, queue);
