--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -106,7 +106,7 @@
         zones.sort_unstable();
         zones.dedup();
         let zone_count = zones.len();
-        scheduling::retain_open_zones(view, self.job, &mut zones);
+        scheduling::retain_allowed_zones(view, self.job, &mut zones);
         (zones.len() < zone_count).then_some(zones)
     }
 
@@ -133,7 +133,7 @@
     let view = forecast.view;
     let unplaced: HashMap<&str, u32> = forecast
         .schedule
-        .unplaced
+        .unplaced_tasks
         .iter()
         .map(|(id, tasks)| (&**id, *tasks))
         .collect();
@@ -157,7 +157,12 @@
         } else if spec.allow_spot && !scheduling::may_use_spot(job.job) {
             demand.add_on_demand_gang(forecast, &job);
         } else {
-            let starved = forecast.schedule.starved.get(id).copied().unwrap_or(0);
+            let starved = forecast
+                .schedule
+                .starved_tasks
+                .get(id)
+                .copied()
+                .unwrap_or(0);
             let team_use = service_use.get(&*spec.team).copied().unwrap_or_default();
             demand.add_batch(forecast, &job, starved, &team_use);
         }
@@ -192,7 +197,7 @@
     let spec: &JobSpec = &job.spec;
     // The next steps of a pipeline count as soon as the preceding steps are about to end.
     let queued = view.queued_or_blocked(job);
-    let within_quota = queued.saturating_sub(forecast.schedule.limited(id));
+    let within_quota = queued.saturating_sub(forecast.schedule.quota_limited_count(id));
     let placed_service = spec.kind == JobKind::Service && unplaced == 0;
     if queued + job.placed == 0 || job.cancelled() || placed_service {
         return None;
--- a/src/autoscaler/reconciler.rs
+++ b/src/autoscaler/reconciler.rs
@@ -217,7 +217,7 @@
             wall_clock,
             teams: &self.settings.teams,
             objectives: &self.settings.objectives,
-            schedulable: &|id, record| {
+            schedulable_machine: &|id, record| {
                 let is_counted = match record.state {
                     MachineState::Up => true,
                     MachineState::Booting => include_booting && !late_machines.contains(id),
@@ -228,7 +228,7 @@
                     owned: true,
                 })
             },
-            freed: &HashMap::new(),
+            released_resources: &HashMap::new(),
             in_backoff: &|_| false,
             owns_job: &|_| true,
             owns_machine: &|_| true,
--- a/src/autoscaler/service_reserve.rs
+++ b/src/autoscaler/service_reserve.rs
@@ -24,7 +24,9 @@
         if spec.kind != JobKind::Service || !job.ready || job.cancelled() {
             continue;
         }
-        let startable = job.waiting.saturating_sub(forecast.schedule.limited(id));
+        let startable = job
+            .waiting
+            .saturating_sub(forecast.schedule.quota_limited_count(id));
         total += spec.resources.cpus * i64::from(job.placed + startable);
         largest = largest.max(spec.resources.cpus * i64::from(spec.task_count));
     }
--- a/src/jobs/api/inspection.rs
+++ b/src/jobs/api/inspection.rs
@@ -6,7 +6,7 @@
 use crate::controller::Controller;
 use crate::fairness::service_levels::table;
 use crate::ids::MachineId;
-use crate::scheduling::pending_reason::{self, PendingReason, Reason};
+use crate::scheduling::pending_reason::{self, PendingReason, PendingStatus};
 use crate::store::cluster_state::{ClusterState, Job};
 use crate::time::wall;
 use crate::wire::server::Response;
@@ -42,7 +42,7 @@
             }
             JOBS_PATH => {
                 let reasons = self.pending_reasons(&view);
-                Response::with(200, &pending_reason::count(&view, wall(), &reasons))
+                Response::with(200, &pending_reason::count_pending(&view, wall(), &reasons))
             }
             "/inspect/fairness" => Response::with(200, &(&view.counts, &view.priority_boosts)),
             _ => match path
@@ -73,7 +73,10 @@
 
     /// Returns a function that gives the reason why a job is pending. Task failures and image fetches are
     /// included only for the machines of this controller's shards.
-    fn pending_reasons(&self, view: &ClusterState) -> impl Fn(&JobId, &Job) -> Reason + use<> {
+    fn pending_reasons(
+        &self,
+        view: &ClusterState,
+    ) -> impl Fn(&JobId, &Job) -> PendingStatus + use<> {
         let schedule = self.forecast(view, false);
         let now = self.clock.now();
         let fetching = self.fetching_tasks();
--- a/src/reconciliation/planning.rs
+++ b/src/reconciliation/planning.rs
@@ -8,7 +8,7 @@
 use crate::jobs::commit::JobChange;
 use crate::jobs::model::JobId;
 use crate::membership::shard_of;
-use crate::scheduling::{self, SchedulableMachine, SchedulingInput, Writes};
+use crate::scheduling::{self, SchedulableMachine, SchedulingInput, WriteLimit};
 use crate::store::cluster_state::{ClusterState, Job};
 use crate::time::{Micros, SECOND, wall};
 use crate::wire::user::JobKind;
@@ -55,14 +55,14 @@
         let schedulable = |id: &MachineId, record: &MachineRecord| scope.schedulable(id, record);
         let in_backoff = |job: &str| scope.placement_deferred(job);
         let in_flight = self.reconciler.jobs_in_flight.borrow();
-        let busy = |id: &JobId| in_flight.contains(id);
+        let has_transaction_in_flight = |id: &JobId| in_flight.contains(id);
         scheduling::schedule(&SchedulingInput {
             view,
             wall_clock: wall(),
             teams: &self.settings.teams,
             objectives: &self.settings.objectives,
-            schedulable: &schedulable,
-            freed: request.freed,
+            schedulable_machine: &schedulable,
+            released_resources: request.freed,
             in_backoff: &in_backoff,
             owns_job: &owns,
             owns_machine: &owns,
@@ -70,7 +70,10 @@
             place_arrays: request.arrays,
             place_deadline_steps: request.deadline_steps,
             forecast: false,
-            write_limit: request.max_jobs.map(|jobs| Writes { jobs, busy: &busy }),
+            write_limit: request.max_jobs.map(|max_jobs| WriteLimit {
+                max_jobs,
+                has_transaction_in_flight: &has_transaction_in_flight,
+            }),
         })
         .changes
     }
--- a/src/scheduling/input.rs
+++ b/src/scheduling/input.rs
@@ -33,10 +33,10 @@
     pub objectives: &'a [Objective],
     /// Returns the session and ownership of a machine on which tasks may be placed; `None` for other
     /// machines.
-    pub schedulable: &'a dyn Fn(&MachineId, &MachineRecord) -> Option<SchedulableMachine>,
+    pub schedulable_machine: &'a dyn Fn(&MachineId, &MachineRecord) -> Option<SchedulableMachine>,
     /// Resources of tasks that have certainly ended on their machines although the task blocks do not
     /// record it yet: that record may be written later.
-    pub freed: &'a HashMap<MachineId, Resources>,
+    pub released_resources: &'a HashMap<MachineId, Resources>,
     /// Returns whether a job is in back-off and must not be scheduled now.
     pub in_backoff: &'a dyn Fn(&str) -> bool,
     /// Returns whether this controller owns a job. Tasks of owned jobs come first, and may preempt without
@@ -54,17 +54,17 @@
     /// those are up.
     pub forecast: bool,
     /// Limit on the writes that the schedule may need; `None` for no limit.
-    pub write_limit: Option<Writes<'a>>,
+    pub write_limit: Option<WriteLimit<'a>>,
 }
 
 /// Limit on the writes of a schedule. Nothing beyond it is computed: with hundreds of jobs waiting for
 /// writes, a full schedule costs much processor time.
 #[derive(Clone, Copy)]
-pub struct Writes<'a> {
+pub struct WriteLimit<'a> {
     /// Maximum number of jobs with writes.
-    pub jobs: usize,
+    pub max_jobs: usize,
     /// Returns whether a job has a transaction in flight; changes scheduled for it are not written now.
-    pub busy: &'a dyn Fn(&JobId) -> bool,
+    pub has_transaction_in_flight: &'a dyn Fn(&JobId) -> bool,
 }
 
 /// The result of a scheduling run.
@@ -73,18 +73,18 @@
     /// Changes to write, in order.
     pub changes: Vec<JobChange>,
     /// Number of tasks without a machine, by job, except tasks held back by their team's quota.
-    pub unplaced: Vec<(JobId, u32)>,
+    pub unplaced_tasks: Vec<(JobId, u32)>,
     /// Number of unplaced tasks within the minimum share of a starved class, by job.
-    pub starved: HashMap<JobId, u32>,
+    pub starved_tasks: HashMap<JobId, u32>,
     /// Number of tasks held back by their team's quota, by job.
-    pub limited_by_quota: HashMap<JobId, u32>,
+    pub quota_limited_tasks: HashMap<JobId, u32>,
     /// Free resources that remain on each schedulable machine; filled only in a forecast.
     pub free_resources: BTreeMap<MachineId, Resources>,
 }
 
 impl Schedule {
     /// Returns the number of a job's tasks that its team's quota holds back.
-    pub fn limited(&self, id: &JobId) -> u32 {
-        self.limited_by_quota.get(id).copied().unwrap_or(0)
+    pub fn quota_limited_count(&self, id: &JobId) -> u32 {
+        self.quota_limited_tasks.get(id).copied().unwrap_or(0)
     }
 }
--- a/src/scheduling/machines.rs
+++ b/src/scheduling/machines.rs
@@ -97,12 +97,12 @@
         machine: &'a MachineRecord,
     ) -> Option<CandidateMachine<'a>> {
         let view = self.input.view;
-        let schedulable = (self.input.schedulable)(id, machine)?;
+        let schedulable = (self.input.schedulable_machine)(id, machine)?;
         let capacity = *self.capacities.get(machine.machine_type.as_str())?;
         let mut free = capacity;
         free.subtract(&view.usage(id).used);
-        if let Some(freed) = self.input.freed.get(id) {
-            free.add(freed);
+        if let Some(released_resources) = self.input.released_resources.get(id) {
+            free.add(released_resources);
         }
         Some(CandidateMachine {
             id,
@@ -172,7 +172,12 @@
         let free_cpus = input.view.free_cpus(id);
         free_cpus.is_some_and(|cpus| cpus < min_cpus)
     };
-    ids.extend(input.freed.keys().filter(|id| below_min_cpus(id)));
+    ids.extend(
+        input
+            .released_resources
+            .keys()
+            .filter(|id| below_min_cpus(id)),
+    );
     ids.sort_unstable();
     ids
 }
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -23,9 +23,9 @@
 mod zones;
 
 pub use backfill::backfill_only;
-pub use input::{SchedulableMachine, Schedule, SchedulingInput, Writes};
+pub use input::{SchedulableMachine, Schedule, SchedulingInput, WriteLimit};
 pub use machines::{machine_allowed, may_use_spot};
-pub use zones::retain_open_zones;
+pub use zones::retain_allowed_zones;
 
 use crate::quota::QuotaLedger;
 use backfill::GpuDemand;
--- a/src/scheduling/pending_reason.rs
+++ b/src/scheduling/pending_reason.rs
@@ -41,13 +41,13 @@
     job: &Job,
     in_backoff: bool,
     fetching: u32,
-) -> Reason {
+) -> PendingStatus {
     if job.cancelled() || job.waiting + fetching == 0 {
         return None;
     }
-    let limited = schedule.limited(id);
+    let limited = schedule.quota_limited_count(id);
     let unplaced = schedule
-        .unplaced
+        .unplaced_tasks
         .iter()
         .filter(|(unplaced_id, _)| unplaced_id == id);
     let unplaced: u32 = unplaced.map(|(_, tasks)| tasks).sum();
@@ -69,16 +69,16 @@
 }
 
 /// Reason for which a job is pending and the number of its tasks; `None` if no task is pending.
-pub type Reason = Option<(PendingReason, u32)>;
+pub type PendingStatus = Option<(PendingReason, u32)>;
 
 /// Number of pending jobs and tasks and age in seconds of the oldest job, by team and reason.
 pub type PendingCounts<'a> = BTreeMap<&'a str, BTreeMap<PendingReason, (u32, u64, f64)>>;
 
 /// Counts pending jobs and tasks by team and reason.
-pub fn count<'a>(
+pub fn count_pending<'a>(
     view: &'a ClusterState,
     wall_clock: u64,
-    reason_of: &dyn Fn(&JobId, &Job) -> Reason,
+    reason_of: &dyn Fn(&JobId, &Job) -> PendingStatus,
 ) -> PendingCounts<'a> {
     let mut counts = PendingCounts::new();
     for (id, job) in &view.jobs {
--- a/src/scheduling/scheduler.rs
+++ b/src/scheduling/scheduler.rs
@@ -119,9 +119,9 @@
 
     fn write_budget(&self, entry: &QueueEntry<'a>) -> WriteBudget {
         match &self.input.write_limit {
-            Some(limit) if self.prioritized_writes >= limit.jobs => WriteBudget::Exhausted,
+            Some(limit) if self.prioritized_writes >= limit.max_jobs => WriteBudget::Exhausted,
             Some(limit)
-                if entry.is_array_without_deadline() && self.deferred_writes >= limit.jobs =>
+                if entry.is_array_without_deadline() && self.deferred_writes >= limit.max_jobs =>
             {
                 WriteBudget::DeferredWritesExhausted
             }
@@ -136,7 +136,7 @@
         let permitted = u32::try_from(headroom).unwrap_or(u32::MAX).min(count);
         if permitted < count {
             // Tasks held back by a quota do not wait for a machine.
-            let limited = &mut self.schedule.limited_by_quota;
+            let limited = &mut self.schedule.quota_limited_tasks;
             *limited.entry(entry.id.clone()).or_default() += count - permitted;
         }
         let outcome = if spec.kind == JobKind::Gang {
@@ -162,7 +162,7 @@
             return None;
         }
         if permitted < spec.task_count {
-            let limited = &mut self.schedule.limited_by_quota;
+            let limited = &mut self.schedule.quota_limited_tasks;
             limited.insert(entry.id.clone(), spec.task_count);
             return None;
         }
@@ -338,7 +338,7 @@
         if !assignments.is_empty() && !input.forecast {
             if input
                 .write_limit
-                .is_some_and(|limit| !(limit.busy)(entry.id))
+                .is_some_and(|limit| !(limit.has_transaction_in_flight)(entry.id))
             {
                 match entry.is_array_without_deadline() {
                     true => self.deferred_writes += 1,
@@ -352,9 +352,15 @@
         }
         if unplaced > 0 {
             if entry.minimum_share {
-                *self.schedule.starved.entry(entry.id.clone()).or_default() += unplaced;
+                *self
+                    .schedule
+                    .starved_tasks
+                    .entry(entry.id.clone())
+                    .or_default() += unplaced;
             }
-            self.schedule.unplaced.push((entry.id.clone(), unplaced));
+            self.schedule
+                .unplaced_tasks
+                .push((entry.id.clone(), unplaced));
         }
     }
 }
--- a/src/scheduling/zones.rs
+++ b/src/scheduling/zones.rs
@@ -40,7 +40,7 @@
 }
 
 /// Retains the zones in which one more task of a job may be placed, given the zones of its other tasks.
-pub fn retain_open_zones(view: &ClusterState, job: &Job, zones: &mut Vec<&str>) {
+pub fn retain_allowed_zones(view: &ClusterState, job: &Job, zones: &mut Vec<&str>) {
     let spec = &job.spec;
     let counts = tasks_by_zone(view, job);
     zones.retain(|zone| {
--- a/tests/invariants/controllers.rs
+++ b/tests/invariants/controllers.rs
@@ -141,8 +141,8 @@
     pub(crate) fn reconcile_pass(&mut self, controller_index: usize, outcome: u8) {
         self.track_owned_machines(controller_index);
         let terms = self.terms(controller_index);
-        let (mut changes, freed) = self.completion_changes(controller_index, outcome);
-        changes.extend(self.scheduled_changes(controller_index, &terms, &freed));
+        let (mut changes, released_resources) = self.completion_changes(controller_index, outcome);
+        changes.extend(self.scheduled_changes(controller_index, &terms, &released_resources));
         if outcome % 32 >= 24 {
             changes.extend(self.preemption_change(controller_index, &terms, outcome));
         }
@@ -182,7 +182,7 @@
     ) -> (Vec<JobChange>, HashMap<MachineId, Resources>) {
         let controller = &self.controllers[controller_index];
         let mut changes = Vec::new();
-        let mut freed: HashMap<MachineId, Resources> = HashMap::new();
+        let mut released_resources: HashMap<MachineId, Resources> = HashMap::new();
         for (id, worker) in &controller.machines {
             let mut ended = Vec::new();
             reconcile(
@@ -195,7 +195,10 @@
             );
             for change in &ended {
                 let resources = controller.view.jobs[change.job()].spec.resources;
-                freed.entry(id.clone()).or_default().add(&resources);
+                released_resources
+                    .entry(id.clone())
+                    .or_default()
+                    .add(&resources);
             }
             // The exit may be written later: the resources are reused before that.
             if outcome < 128 {
@@ -207,14 +210,14 @@
                 changes.push(JobChange::Finalize { job: id.clone() });
             }
         }
-        (changes, freed)
+        (changes, released_resources)
     }
 
     fn scheduled_changes(
         &self,
         controller_index: usize,
         terms: &[Option<u64>],
-        freed: &HashMap<MachineId, Resources>,
+        released_resources: &HashMap<MachineId, Resources>,
     ) -> Vec<JobChange> {
         let controller = &self.controllers[controller_index];
         let schedulable = |id: &MachineId, record: &MachineRecord| {
@@ -240,8 +243,8 @@
             wall_clock: self.now,
             teams: &[],
             objectives: &[],
-            schedulable: &schedulable,
-            freed,
+            schedulable_machine: &schedulable,
+            released_resources,
             in_backoff: &|_| false,
             owns_job: &owns,
             owns_machine: &owns,
--- a/tests/large_clusters/schedules.rs
+++ b/tests/large_clusters/schedules.rs
@@ -157,8 +157,8 @@
     );
     assert_eq!(cluster.schedule(&HashMap::new()), vec![]);
     let resources = cluster.state.jobs["req-1"].spec.resources;
-    let freed = HashMap::from_iter([(MachineId::from("m-000000"), resources)]);
-    let next = cluster.schedule(&freed);
+    let released_resources = HashMap::from_iter([(MachineId::from("m-000000"), resources)]);
+    let next = cluster.schedule(&released_resources);
     cluster.apply_changes(&next);
     let first_task = |job: &str| cluster.state.jobs[job].slot(0).cloned();
     assert!(
--- a/tests/large_clusters/world.rs
+++ b/tests/large_clusters/world.rs
@@ -104,15 +104,19 @@
         common::indexed(&self.state);
     }
 
-    /// Returns the decisions of the scheduler; `freed` holds resources of task exits that are not written yet.
-    pub(crate) fn schedule(&self, freed: &HashMap<MachineId, Resources>) -> Vec<JobChange> {
-        self.schedule_for_owner(freed, &|_| true)
+    /// Returns the decisions of the scheduler; `released_resources` holds resources of task exits that are not
+    /// written yet.
+    pub(crate) fn schedule(
+        &self,
+        released_resources: &HashMap<MachineId, Resources>,
+    ) -> Vec<JobChange> {
+        self.schedule_for_owner(released_resources, &|_| true)
     }
 
     /// Returns the decisions of a controller that owns only the machines selected by `owns_machine`.
     pub(crate) fn schedule_for_owner(
         &self,
-        freed: &HashMap<MachineId, Resources>,
+        released_resources: &HashMap<MachineId, Resources>,
         owns_machine: &dyn Fn(&str) -> bool,
     ) -> Vec<JobChange> {
         schedule(&SchedulingInput {
@@ -120,13 +124,13 @@
             wall_clock: 401 * SECOND,
             teams: &[],
             objectives: &[],
-            schedulable: &|id, machine| {
+            schedulable_machine: &|id, machine| {
                 (machine.state == MachineState::Up).then_some(SchedulableMachine {
                     session: machine.session,
                     owned: owns_machine(id),
                 })
             },
-            freed,
+            released_resources,
             in_backoff: &|_| false,
             owns_job: &|_| true,
             owns_machine,
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -127,14 +127,14 @@
             wall_clock: self.now,
             teams: &self.teams,
             objectives: &[],
-            schedulable: &|id, record| {
+            schedulable_machine: &|id, record| {
                 let up = record.state == MachineState::Up && (forecast || is_owned(id));
                 up.then_some(SchedulableMachine {
                     session: record.session,
                     owned: is_owned(id),
                 })
             },
-            freed: &HashMap::new(),
+            released_resources: &HashMap::new(),
             // A service whose owner has no free capacity, or no machine left, is placed by the other
             // controllers.
             in_backoff: &|id| !is_owned(id) && cluster_state.jobs[id].spec.kind != JobKind::Service,
@@ -225,7 +225,7 @@
         let plan = cluster.plan(&view, None, true);
         let mut missing_cpus = 0;
         let mut machines_filled = 0.0;
-        for (id, count) in &plan.unplaced {
+        for (id, count) in &plan.unplaced_tasks {
             let spec = &view.jobs[id].spec;
             let tasks_per_machine = Resources::of_machine(&machine_type("cpu", 16.0, 0.0)).count_fitting(&spec.resources).max(1);
             machines_filled += f64::from(*count) / tasks_per_machine as f64;
@@ -234,11 +234,11 @@
             }
         }
         // The team's arrays yield quota to a waiting gang that the limit admits.
-        let gangs = plan.unplaced.iter().any(|(id, _)| view.jobs[id].spec.kind == JobKind::Gang);
+        let gangs = plan.unplaced_tasks.iter().any(|(id, _)| view.jobs[id].spec.kind == JobKind::Gang);
         prop_assert!(gangs || used_cpus(&view, "capped") + missing_cpus <= limit * THOUSANDTHS_PER_UNIT, "{missing_cpus}");
         let decision = cluster.scaling_decision(&view, &plan);
         let machines_added: u32 = decision.scale_out.iter().map(|c| c.count).sum();
-        let starved: u32 = plan.starved.values().sum();
+        let starved: u32 = plan.starved_tasks.values().sum();
         // The capacity reserve for services comes on top: at most the size of the largest service.
         prop_assert!(f64::from(machines_added) <= machines_filled + f64::from(starved) + 8.0, "{machines_added} machines added, {machines_filled} needed");
     }
@@ -261,8 +261,8 @@
     cluster.job("req-000003", &backlog);
     let view = cluster.view();
     let plan = cluster.plan(&view, None, true);
-    assert_eq!(plan.unplaced, vec![]);
-    let limited: u32 = plan.limited_by_quota.values().sum();
+    assert_eq!(plan.unplaced_tasks, vec![]);
+    let limited: u32 = plan.quota_limited_tasks.values().sum();
     assert_eq!(limited, 1199, "the quota admits one more task");
     let id = "req-000003".into();
     let reason = pending_reason(&plan, &id, &view.jobs[&id], false, 0);
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -9,7 +9,7 @@
 use coppergw::jobs::model::{JobId, JobRecord, JobSpec, Resources, TaskBlock};
 use coppergw::membership::{SHARD_COUNT, Shard};
 use coppergw::scheduling::{
-    SchedulableMachine, SchedulingInput, Writes, machine_allowed, schedule,
+    SchedulableMachine, SchedulingInput, WriteLimit, machine_allowed, schedule,
 };
 use coppergw::settings::Team;
 use coppergw::store::cluster_state::ClusterState;
@@ -136,20 +136,23 @@
     schedule_limited(view, None)
 }
 
-fn schedule_limited(cluster_state: &ClusterState, writes: Option<Writes<'_>>) -> Vec<JobChange> {
+fn schedule_limited(
+    cluster_state: &ClusterState,
+    writes: Option<WriteLimit<'_>>,
+) -> Vec<JobChange> {
     let teams = teams();
     schedule(&SchedulingInput {
         view: cluster_state,
         wall_clock: 500 * SECOND,
         teams: &teams,
         objectives: &[],
-        schedulable: &|_, machine| {
+        schedulable_machine: &|_, machine| {
             (machine.state == MachineState::Up).then_some(SchedulableMachine {
                 session: machine.session,
                 owned: true,
             })
         },
-        freed: &HashMap::new(),
+        released_resources: &HashMap::new(),
         in_backoff: &|_| false,
         owns_job: &|_| true,
         owns_machine: &|_| true,
@@ -509,8 +512,15 @@
     let services = placed(&full, JobKind::Service);
     let arrays = placed(&full, JobKind::Array);
     assert_eq!((services.len(), arrays.len()), (10, 10));
-    let schedule_few =
-        |jobs, busy: &dyn Fn(&JobId) -> bool| schedule_limited(&view, Some(Writes { jobs, busy }));
+    let schedule_few = |max_jobs, has_transaction_in_flight: &dyn Fn(&JobId) -> bool| {
+        schedule_limited(
+            &view,
+            Some(WriteLimit {
+                max_jobs,
+                has_transaction_in_flight,
+            }),
+        )
+    };
     let limited = schedule_few(3, &|_| false);
     assert_eq!(placed(&limited, JobKind::Array), arrays[..3]);
     assert_eq!(placed(&limited, JobKind::Service), services[..3]);
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -80,14 +80,14 @@
         wall_clock: NOW,
         teams: &[],
         objectives: &[],
-        schedulable: &|_, record| {
+        schedulable_machine: &|_, record| {
             let usable = matches!(record.state, MachineState::Up | MachineState::Booting);
             usable.then_some(SchedulableMachine {
                 session: record.session,
                 owned: true,
             })
         },
-        freed: &HashMap::new(),
+        released_resources: &HashMap::new(),
         in_backoff: &|_| false,
         owns_job: &|_| true,
         owns_machine: &|_| true,
@@ -295,7 +295,7 @@
         let zones_without_room: Vec<&str> = {
             let forecast = forecast(&view);
             let zone = |id: &str| view.jobs[id].spec.zone.as_deref();
-            names.into_iter().filter(|z| forecast.unplaced.iter().any(|(id, _)| zone(id) == Some(z))).collect()
+            names.into_iter().filter(|z| forecast.unplaced_tasks.iter().any(|(id, _)| zone(id) == Some(z))).collect()
         };
         let decision = cluster.decide(&|_, _| false);
         for zone in names {
