--- a/benches/growth.rs
+++ b/benches/growth.rs
@@ -111,7 +111,7 @@
                         .as_str()
                         .into(),
                     session: 1,
-                    stop: None,
+                    stop_grace_period: None,
                 })
             })
             .collect();
@@ -326,7 +326,7 @@
             attempt: 1,
             machine: machine_name(machine_count - 1 - index % 50).as_str().into(),
             session: 1,
-            stop: None,
+            stop_grace_period: None,
         })
     };
     let block = TaskBlock((0..TASKS_PER_JOB).map(placed).collect());
--- a/src/autoscaler/reconciler.rs
+++ b/src/autoscaler/reconciler.rs
@@ -190,7 +190,7 @@
 
     /// Writes the state changes and requests of a decision.
     async fn write_decision(&self, decision: ScalingDecision) {
-        if self.limits().newer_layout {
+        if self.limits().write_newer_layout {
             self.write_termination_batches(&decision.scale_in).await;
         } else {
             self.write_machine_states(&decision.scale_in, MachineState::Returning)
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -199,7 +199,7 @@
             };
         }
         if request.path.starts_with(USER_PATH_PREFIX) {
-            let response = self.on_user_or_forward(request).await;
+            let response = self.handle_or_forward_user_request(request).await;
             if response.status < FIRST_RETRY_STATUS {
                 self.record_milestone(StartupMilestone::User);
             }
@@ -212,13 +212,13 @@
     async fn on_internal_request(&self, request: Request) -> Response {
         if request.path == peer::FORWARD_PATH {
             let body = request.body.as_deref().unwrap_or_default();
-            return self.on_forward(body).await;
+            return self.handle_forwarded_request(body).await;
         }
         let heartbeat = request
             .body
             .filter(|_| request.path == peer::PEER_HEARTBEAT_PATH);
         let Some(heartbeat) = heartbeat else {
-            return self.inspect(&request.path);
+            return self.handle_inspection_request(&request.path);
         };
         if heartbeat.is_empty() {
             return Response::status(400);
@@ -294,14 +294,14 @@
 
     /// Returns the limits of written transactions.
     pub fn limits(&self) -> TransactionLimits {
-        let newer_layout = self.watch_cache.view().layout.is_some();
+        let write_newer_layout = self.watch_cache.view().layout.is_some();
         TransactionLimits {
             max_mutations: self.state_limits().max_mutations,
             max_merged_mutations: (self.watch_cache.client().write_level().1 / 2.0) as usize,
             max_bytes: MAX_TRANSACTION_BYTES,
             max_value_bytes: self.value_limit(),
-            newer_layout,
-            packed: newer_layout && self.settings.next_state_limits.is_some(),
+            write_newer_layout,
+            write_packed_blocks: write_newer_layout && self.settings.next_state_limits.is_some(),
             wall_clock: wall(),
         }
     }
--- a/src/jobs/api/forwarding.rs
+++ b/src/jobs/api/forwarding.rs
@@ -15,7 +15,7 @@
 const FORWARD_TIMEOUT: Micros = SECOND;
 
 /// Returns whether a request body is a submission with dependencies.
-pub fn names_dependencies(body: &[u8]) -> bool {
+pub fn has_dependencies(body: &[u8]) -> bool {
     decode::<Submission>(body).is_ok_and(|submission| {
         submission
             .dependencies
@@ -25,7 +25,7 @@
 
 impl Controller {
     /// Handles a user's request, and forwards it to a peer if this controller cannot answer it.
-    pub async fn on_user_or_forward(&self, request: Request) -> Response {
+    pub async fn handle_or_forward_user_request(&self, request: Request) -> Response {
         let forwarded = request.body.as_ref().map(|body| ForwardedRequest {
             post: request.method == Method::Post,
             path: request.path.clone(),
@@ -37,7 +37,7 @@
         };
         // A peer of the previous version ignores dependencies: it would accept the job and start it at
         // once.
-        if self.watch_cache.view().layout.is_none() && names_dependencies(&forwarded.body) {
+        if self.watch_cache.view().layout.is_none() && has_dependencies(&forwarded.body) {
             return response;
         }
         let Some(address) = self.peer_with_state_service() else {
@@ -71,7 +71,7 @@
     }
 
     /// Handles a request that a peer forwarded.
-    pub async fn on_forward(&self, body: &[u8]) -> Response {
+    pub async fn handle_forwarded_request(&self, body: &[u8]) -> Response {
         let Some(forwarded) = unpack::<ForwardedRequest>(body) else {
             return Response::status(400);
         };
--- a/src/jobs/api/inspection.rs
+++ b/src/jobs/api/inspection.rs
@@ -2,7 +2,7 @@
 //! state in JSON-like bodies. The names in these bodies are fixed, because operators' scripts read them.
 
 use super::super::model::JobId;
-use super::super::pipelines::answer;
+use super::super::pipelines::job_answer;
 use crate::controller::Controller;
 use crate::fairness::service_levels::table;
 use crate::ids::MachineId;
@@ -22,7 +22,7 @@
 
 impl Controller {
     /// Handles an operator's request.
-    pub fn inspect(&self, path: &str) -> Response {
+    pub fn handle_inspection_request(&self, path: &str) -> Response {
         if !self.watch_cache.loaded() {
             return Response::refusal(
                 503,
@@ -68,7 +68,7 @@
             }
             _ => Vec::new(),
         };
-        Response::with(200, &(answer(view, id), reason, dependencies))
+        Response::with(200, &(job_answer(view, id), reason, dependencies))
     }
 
     /// Returns a function that gives the reason why a job is pending. Task failures and image fetches are
@@ -128,7 +128,7 @@
         .filter(|(_, job)| !job.dependencies.is_empty())
         .filter_map(|(id, _)| {
             let id: &str = id;
-            Some((id, answer(view, id)?))
+            Some((id, job_answer(view, id)?))
         })
         .take(MAX_SHOWN_PIPELINES)
         .collect();
--- a/src/jobs/api/job_state.rs
+++ b/src/jobs/api/job_state.rs
@@ -2,7 +2,7 @@
 //! controller: every state that is not final needs a linearizable read.
 
 use super::super::model::JobId;
-use super::super::pipelines::{answer, finished_job_answer};
+use super::super::pipelines::{finished_job_answer, job_answer};
 use super::{StateUnavailable, service_unavailable};
 use crate::controller::Controller;
 use crate::wire::server::Response;
@@ -28,7 +28,7 @@
 
     /// Returns the job's state in the watch cache, which may be stale.
     pub(super) fn cached_job_state(&self, id: &str) -> Option<JobAnswer> {
-        answer(&self.watch_cache.view(), id)
+        job_answer(&self.watch_cache.view(), id)
     }
 
     /// Returns the job's current state; `None` if it was never submitted. A cancellation is not returned
--- a/src/jobs/api/mod.rs
+++ b/src/jobs/api/mod.rs
@@ -9,7 +9,7 @@
 mod job_state;
 mod submission;
 
-pub use forwarding::names_dependencies;
+pub use forwarding::has_dependencies;
 
 use crate::controller::Controller;
 use crate::wire::server::{Request, Response};
--- a/src/jobs/api/submission.rs
+++ b/src/jobs/api/submission.rs
@@ -102,7 +102,7 @@
         let status = match &error {
             SubmissionError::Malformed(_)
             | SubmissionError::Inadmissible(AdmissionError::Malformed(_)) => 400,
-            SubmissionError::Inadmissible(AdmissionError::Impossible(_)) => 422,
+            SubmissionError::Inadmissible(AdmissionError::Infeasible(_)) => 422,
             SubmissionError::TooLarge => {
                 tracing::debug!(id, %error, "submission rejected");
                 return Response::refusal(400, &error.to_string());
@@ -178,15 +178,15 @@
         }
         let unknown = match check_dependencies(&self.watch_cache.view(), id, names) {
             DependencyCheck::Accepted(dependencies) => return Ok(dependencies),
-            DependencyCheck::Impossible(reason) => return Err(impossible_job(reason)),
+            DependencyCheck::Infeasible(reason) => return Err(infeasible_job(reason)),
             DependencyCheck::Unknown(unknown) => unknown,
         };
         self.read_dependencies(&unknown).await?;
         match check_dependencies(&self.watch_cache.view(), id, names) {
             DependencyCheck::Accepted(dependencies) => Ok(dependencies),
-            DependencyCheck::Impossible(reason) => Err(impossible_job(reason)),
+            DependencyCheck::Infeasible(reason) => Err(infeasible_job(reason)),
             DependencyCheck::Unknown(_) => {
-                Err(impossible_job("waits for a job that was never accepted"))
+                Err(infeasible_job("waits for a job that was never accepted"))
             }
         }
     }
@@ -281,6 +281,6 @@
 }
 
 /// Returns the error for dependencies with which the job can never run.
-fn impossible_job(reason: &'static str) -> SubmissionError {
-    AdmissionError::Impossible(reason).into()
+fn infeasible_job(reason: &'static str) -> SubmissionError {
+    AdmissionError::Infeasible(reason).into()
 }
--- a/src/jobs/commit/block_writer.rs
+++ b/src/jobs/commit/block_writer.rs
@@ -1,6 +1,6 @@
 //! Writes task blocks in their stored form, and splits blocks that are too large for one value.
 //!
-//! A block has up to [`BLOCK`] slots, independent of the present limit for the size of a value. In the
+//! A block has up to [`TASKS_PER_BLOCK`] slots, independent of the present limit for the size of a value. In the
 //! packed form, equal slots share an entry. A block that is still too large is split into parts, which
 //! are keys with fewer slots each; later writes change only the parts that differ. The marker of a split
 //! block and the last of its parts are written in one transaction, so that readers never see the marker
@@ -8,7 +8,7 @@
 
 use super::draft::{ESTIMATED_RECORD_BYTES, TransactionDraft, put};
 use super::limits::TransactionLimits;
-use crate::jobs::model::{BLOCK, JobId, JobSpec, StoredBlock, TaskBlock, TaskState};
+use crate::jobs::model::{JobId, JobSpec, StoredBlock, TASKS_PER_BLOCK, TaskBlock, TaskState};
 use crate::store::cluster_state::{ClusterState, Job};
 use crate::store::keys;
 use crate::wire::json_size;
@@ -41,7 +41,7 @@
 /// The parts of a block that is being split.
 struct NewParts {
     /// Number of slots in each part.
-    slots_per_part: u32,
+    tasks_per_part: u32,
     /// Writes of the parts that the state service does not store yet.
     puts: Vec<Mutation>,
 }
@@ -71,13 +71,13 @@
     ) -> BlockLayout {
         let key = self.key(index);
         draft.add_precondition(self.view, key.clone());
-        if !self.limits.packed {
+        if !self.limits.write_packed_blocks {
             self.write_plain(draft, key, index, block);
             return BlockLayout::Kept;
         }
-        let written = match self.slots_per_part(index) {
+        let written = match self.tasks_per_part(index) {
             0 => self.write_packed(draft, &key, index, block),
-            slots_per_part => self.write_changed_parts(draft, index, block, slots_per_part),
+            tasks_per_part => self.write_changed_parts(draft, index, block, tasks_per_part),
         };
         if written.is_ok() {
             return BlockLayout::Kept;
@@ -85,7 +85,7 @@
         let new_parts = self.split(draft, index, block);
         draft.mutations.extend(new_parts.puts);
         draft.bytes += ESTIMATED_RECORD_BYTES;
-        let marker = StoredBlock::Split(new_parts.slots_per_part);
+        let marker = StoredBlock::Split(new_parts.tasks_per_part);
         draft.mutations.push(self.put_block(key, index, &marker));
         BlockLayout::NewlySplit
     }
@@ -108,7 +108,7 @@
         let new_parts = writer.split(&mut draft, index, block);
         if new_parts.puts.len() < max_mutations {
             draft.mutations = new_parts.puts;
-            let marker = StoredBlock::Split(new_parts.slots_per_part);
+            let marker = StoredBlock::Split(new_parts.tasks_per_part);
             draft
                 .mutations
                 .push(writer.put_block(key.clone(), index, &marker));
@@ -142,7 +142,7 @@
     }
 
     /// Returns the number of slots in each part of a block as it is stored now; 0 if it is not split.
-    fn slots_per_part(&self, index: u32) -> u32 {
+    fn tasks_per_part(&self, index: u32) -> u32 {
         self.job
             .tasks_per_part
             .get(index as usize)
@@ -195,12 +195,12 @@
         draft: &mut TransactionDraft,
         index: u32,
         block: &TaskBlock,
-        slots_per_part: u32,
+        tasks_per_part: u32,
     ) -> Result<(), ValueTooLarge> {
         let before = self.job.blocks.get(index as usize);
         let slots_before =
-            |part: u32| before.and_then(|block| slots_of_part(block, slots_per_part, part));
-        let changed: Vec<(u32, StoredBlock)> = parts_of_block(block, slots_per_part)
+            |part: u32| before.and_then(|block| slots_of_part(block, tasks_per_part, part));
+        let changed: Vec<(u32, StoredBlock)> = parts_of_block(block, tasks_per_part)
             .filter(|(part, content)| slots_before(*part) != Some(content.0.as_slice()))
             .map(|(part, content)| (part, StoredBlock::Packed(content)))
             .collect();
@@ -212,7 +212,7 @@
             return Err(ValueTooLarge);
         }
         for (part, content) in changed {
-            let key = keys::block_part(self.id, index, slots_per_part, part);
+            let key = keys::block_part(self.id, index, tasks_per_part, part);
             draft.add_precondition(self.view, key.clone());
             draft.bytes += json_size(&content);
             draft.mutations.push(put(key, &content));
@@ -223,10 +223,10 @@
     /// Splits a block into parts with at most half the previous number of slots. Adds a precondition for
     /// every part; parts that the state service already stores are not written again.
     fn split(&self, draft: &mut TransactionDraft, index: u32, block: &TaskBlock) -> NewParts {
-        let slots_per_part = self.new_slots_per_part(index, block);
+        let tasks_per_part = self.new_tasks_per_part(index, block);
         let mut puts = Vec::new();
-        for (part, content) in parts_of_block(block, slots_per_part) {
-            let key = keys::block_part(self.id, index, slots_per_part, part);
+        for (part, content) in parts_of_block(block, tasks_per_part) {
+            let key = keys::block_part(self.id, index, tasks_per_part, part);
             let version = self.view.version(&key);
             let never_placed = content
                 .0
@@ -236,7 +236,7 @@
             // A missing part is read as one whose tasks were never placed.
             let implied = version == 0 && never_placed;
             if !implied
-                && self.view.block_part(self.id, index, slots_per_part, part) != Some(&content)
+                && self.view.block_part(self.id, index, tasks_per_part, part) != Some(&content)
             {
                 let content = StoredBlock::Packed(content);
                 draft.bytes += json_size(&content);
@@ -244,28 +244,28 @@
             }
         }
         NewParts {
-            slots_per_part,
+            tasks_per_part,
             puts,
         }
     }
 
     /// Returns the largest number of slots, found by halving, with which every part of a block has room to
     /// grow.
-    fn new_slots_per_part(&self, index: u32, block: &TaskBlock) -> u32 {
-        let before = match self.slots_per_part(index) {
-            0 => BLOCK,
-            slots_per_part => slots_per_part,
+    fn new_tasks_per_part(&self, index: u32, block: &TaskBlock) -> u32 {
+        let before = match self.tasks_per_part(index) {
+            0 => TASKS_PER_BLOCK,
+            tasks_per_part => tasks_per_part,
         };
         let max_part_bytes = self.limits.max_value_bytes * NEW_PART_FILL_PERCENT / 100;
         let too_large =
             |content: TaskBlock| json_size(&StoredBlock::Packed(content)) > max_part_bytes;
-        let mut slots_per_part = before.div_ceil(2);
-        while slots_per_part > 1
-            && parts_of_block(block, slots_per_part).any(|(_, content)| too_large(content))
+        let mut tasks_per_part = before.div_ceil(2);
+        while tasks_per_part > 1
+            && parts_of_block(block, tasks_per_part).any(|(_, content)| too_large(content))
         {
-            slots_per_part = slots_per_part.div_ceil(2);
+            tasks_per_part = tasks_per_part.div_ceil(2);
         }
-        slots_per_part
+        tasks_per_part
     }
 }
 
@@ -278,21 +278,21 @@
 }
 
 /// Returns the slots of one part of a block.
-fn slots_of_part(block: &TaskBlock, slots_per_part: u32, part: u32) -> Option<&[TaskState]> {
+fn slots_of_part(block: &TaskBlock, tasks_per_part: u32, part: u32) -> Option<&[TaskState]> {
     block
         .0
-        .chunks(slots_per_part.max(1) as usize)
+        .chunks(tasks_per_part.max(1) as usize)
         .nth(part as usize)
 }
 
 /// Returns the parts of a block with their numbers.
 fn parts_of_block(
     block: &TaskBlock,
-    slots_per_part: u32,
+    tasks_per_part: u32,
 ) -> impl Iterator<Item = (u32, TaskBlock)> + '_ {
     block
         .0
-        .chunks(slots_per_part.max(1) as usize)
+        .chunks(tasks_per_part.max(1) as usize)
         .enumerate()
         .map(|(part, slots)| (part as u32, TaskBlock(slots.to_vec())))
 }
--- a/src/jobs/commit/cancellation.rs
+++ b/src/jobs/commit/cancellation.rs
@@ -18,8 +18,8 @@
     let key = keys::job(id);
     draft.add_precondition(view, key.clone());
     match job.tasks_per_part.first() {
-        Some(slots_per_part) if *slots_per_part > 0 => {
-            let record = (spec, StoredBlock::Split(*slots_per_part));
+        Some(tasks_per_part) if *tasks_per_part > 0 => {
+            let record = (spec, StoredBlock::Split(*tasks_per_part));
             draft.mutations.push(put(key, &record));
         }
         _ => {
--- a/src/jobs/commit/job_transaction.rs
+++ b/src/jobs/commit/job_transaction.rs
@@ -7,10 +7,10 @@
 use super::change::JobChange;
 use super::draft::{ESTIMATED_RECORD_BYTES, TransactionDraft, put};
 use super::limits::TransactionLimits;
-use super::staging::HasTeamLimit;
+use super::staging::TeamLimitCheck;
 use crate::ids::MachineId;
 use crate::jobs::model::{
-    BLOCK, FinishedJob, JobId, Placement, StoredBlock, TaskBlock, TaskState, blocks,
+    FinishedJob, JobId, Placement, StoredBlock, TASKS_PER_BLOCK, TaskBlock, TaskState, block_count,
 };
 use crate::membership::shard_of;
 use crate::store::cluster_state::{ClusterState, Job};
@@ -40,7 +40,7 @@
     view: &ClusterState,
     id: &JobId,
     changes: &[&JobChange],
-    has_team_limit: HasTeamLimit<'_>,
+    has_team_limit: TeamLimitCheck<'_>,
     limits: TransactionLimits,
 ) -> Option<TransactionDraft> {
     let mut builder = JobTransactionBuilder {
@@ -136,12 +136,15 @@
         let Some(placement) = self.placement(index, attempt) else {
             return;
         };
-        if placement.stop.is_some_and(|earlier| earlier <= grace) {
+        if placement
+            .stop_grace_period
+            .is_some_and(|earlier| earlier <= grace)
+        {
             return;
         }
         self.add_shard_precondition(&placement.machine);
         let stopped = Placement {
-            stop: Some(grace),
+            stop_grace_period: Some(grace),
             ..placement
         };
         self.set_task(index, TaskState::Placed(stopped));
@@ -160,7 +163,11 @@
         let is_gang = self.job.spec.kind == JobKind::Gang;
         // The tasks of a gang discover their peers by the attempt number, so all get the same one.
         let last_gang_attempt = match is_gang {
-            true => self.job.slots().map(|(_, state)| state.attempt()).max(),
+            true => self
+                .job
+                .slots()
+                .map(|(_, state)| state.last_attempt())
+                .max(),
             false => None,
         };
         for (index, machine, session) in tasks {
@@ -169,13 +176,13 @@
             }
             let last_attempt = match is_gang {
                 true => last_gang_attempt.unwrap_or(0),
-                false => self.task(*index).map_or(0, |state| state.attempt()),
+                false => self.task(*index).map_or(0, |state| state.last_attempt()),
             };
             let placement = Placement {
                 attempt: last_attempt + 1,
                 machine: machine.clone(),
                 session: *session,
-                stop: None,
+                stop_grace_period: None,
             };
             self.set_task(*index, TaskState::Placed(placement));
             self.add_shard_precondition(machine);
@@ -193,9 +200,9 @@
         if spec.kind != JobKind::Gang {
             return true;
         }
-        let block_count = blocks(spec.task_count) as usize;
+        let block_count = block_count(spec.task_count) as usize;
         task_count == spec.task_count as usize
-            && (self.limits.packed
+            && (self.limits.write_packed_blocks
                 || block_count + GANG_RESERVED_MUTATIONS <= self.limits.max_mutations)
     }
 
@@ -204,15 +211,15 @@
     /// limits instead.
     fn has_room_for_placement(&self) -> bool {
         let preconditions = self.draft.preconditions.len() + self.machine_preconditions.len();
-        self.limits.packed
+        self.limits.write_packed_blocks
             || preconditions + RESERVED_PRECONDITIONS + PRECONDITIONS_PER_PLACEMENT
                 <= self.limits.max_preconditions_with_reserve()
     }
 
     /// Returns a task's state with the changes applied so far.
     fn task(&self, index: u32) -> Option<&TaskState> {
-        match self.changed_blocks.get(&(index / BLOCK)) {
-            Some(block) => block.0.get((index % BLOCK) as usize),
+        match self.changed_blocks.get(&(index / TASKS_PER_BLOCK)) {
+            Some(block) => block.0.get((index % TASKS_PER_BLOCK) as usize),
             None => self.job.slot(index),
         }
     }
@@ -230,7 +237,7 @@
     /// Changes a task's state if its key still fits into the transaction; otherwise the change follows in
     /// the next one. The changes of a gang are never divided between transactions.
     fn set_task(&mut self, index: u32, state: TaskState) {
-        let reserved = match self.limits.packed {
+        let reserved = match self.limits.write_packed_blocks {
             true => RESERVED_MUTATIONS_PACKED,
             false => RESERVED_MUTATIONS_PLAIN,
         };
@@ -247,16 +254,16 @@
                 .changed_blocks
                 .entry(key.block)
                 .or_insert_with(|| block.clone());
-            if let Some(slot) = block.0.get_mut((index % BLOCK) as usize) {
+            if let Some(slot) = block.0.get_mut((index % TASKS_PER_BLOCK) as usize) {
                 *slot = state;
             }
         }
     }
 
     fn key_of_task(&self, index: u32) -> TaskKey {
-        let block = index / BLOCK;
+        let block = index / TASKS_PER_BLOCK;
         let part = match self.job.tasks_per_part.get(block as usize) {
-            Some(slots_per_part) if *slots_per_part > 0 => index % BLOCK / slots_per_part,
+            Some(tasks_per_part) if *tasks_per_part > 0 => index % TASKS_PER_BLOCK / tasks_per_part,
             _ => 0,
         };
         TaskKey { block, part }
@@ -272,7 +279,7 @@
     }
 
     /// Writes the job's final state or its changed blocks, and checks the limits of the transaction.
-    fn finish(mut self, has_team_limit: HasTeamLimit<'_>) -> Option<TransactionDraft> {
+    fn finish(mut self, has_team_limit: TeamLimitCheck<'_>) -> Option<TransactionDraft> {
         self.draft.add_precondition(self.view, keys::job(self.id));
         if let Some(end) = self.job_end() {
             return self.finalize(end);
@@ -297,7 +304,7 @@
         }
         let fits = mutations.len() <= self.limits.max_mutations
             && preconditions.len() <= self.limits.max_preconditions();
-        if !fits && self.limits.packed {
+        if !fits && self.limits.write_packed_blocks {
             tracing::debug!(
                 job = %self.id,
                 mutations = mutations.len(),
@@ -340,7 +347,7 @@
             // A cancelled job stays cancelled, even if all its tasks have completed since.
             cancelled: self.job.cancelled(),
             done: self.blocks().map(done).sum(),
-            finished_at: match self.limits.newer_layout {
+            finished_at: match self.limits.write_newer_layout {
                 true => self.limits.wall_clock,
                 false => 0,
             },
@@ -350,7 +357,7 @@
             .push(put(keys::finished_job(self.id), &finished_job));
         self.draft.mutations.push(Mutation::Delete { key: job_key });
         self.draft.bytes = ESTIMATED_RECORD_BYTES;
-        if !self.limits.packed {
+        if !self.limits.write_packed_blocks {
             self.delete_blocks_with_preconditions();
             return Some(self.draft);
         }
@@ -422,10 +429,12 @@
     /// Writes the job's record, although its first block does not change. Returns the block's index if it
     /// had to be split for that.
     fn write_record(&self, draft: &mut TransactionDraft) -> Option<u32> {
-        if let (true, Some(slots_per_part)) = (self.limits.packed, self.job.tasks_per_part.first())
-            && *slots_per_part > 0
+        if let (true, Some(tasks_per_part)) = (
+            self.limits.write_packed_blocks,
+            self.job.tasks_per_part.first(),
+        ) && *tasks_per_part > 0
         {
-            let record = (self.job.spec.as_ref(), StoredBlock::Split(*slots_per_part));
+            let record = (self.job.spec.as_ref(), StoredBlock::Split(*tasks_per_part));
             draft.mutations.push(put(keys::job(self.id), &record));
             draft.bytes += ESTIMATED_RECORD_BYTES;
             return None;
@@ -449,7 +458,7 @@
     fn add_machine_preconditions(&mut self) {
         let preconditions = &mut self.draft.preconditions;
         let count = preconditions.len() + self.machine_preconditions.len();
-        if !self.limits.packed || count <= self.limits.max_preconditions() {
+        if !self.limits.write_packed_blocks || count <= self.limits.max_preconditions() {
             preconditions.append(&mut self.machine_preconditions);
         }
     }
--- a/src/jobs/commit/limits.rs
+++ b/src/jobs/commit/limits.rs
@@ -22,9 +22,9 @@
     /// Largest size of one value in bytes of its JSON form, less a reserve.
     pub max_value_bytes: usize,
     /// Whether the newer layout may be written, because every controller can read it.
-    pub newer_layout: bool,
+    pub write_newer_layout: bool,
     /// Whether task blocks are written in packed form, and split if they are too large for a value.
-    pub packed: bool,
+    pub write_packed_blocks: bool,
     /// Wall-clock time at which the transactions are staged.
     pub wall_clock: Micros,
 }
--- a/src/jobs/commit/mod.rs
+++ b/src/jobs/commit/mod.rs
@@ -19,5 +19,5 @@
 pub use change::JobChange;
 pub use garbage_collection::collect_garbage;
 pub use limits::TransactionLimits;
-pub use staging::{HasTeamLimit, StagedTransaction, stage};
+pub use staging::{StagedTransaction, TeamLimitCheck, stage};
 pub use submission::accept_submission;
--- a/src/jobs/commit/staging.rs
+++ b/src/jobs/commit/staging.rs
@@ -12,7 +12,7 @@
 
 /// Function that returns whether the team with a given name has a limit. Placements of such a team's jobs
 /// are conditional on the team's key, so that two controllers cannot exceed the limit concurrently.
-pub type HasTeamLimit<'a> = &'a dyn Fn(&str) -> bool;
+pub type TeamLimitCheck<'a> = &'a dyn Fn(&str) -> bool;
 
 /// A transaction with the jobs that it changes.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
     view: &ClusterState,
     changes: &[JobChange],
     in_flight: &HashSet<JobId>,
-    has_team_limit: HasTeamLimit<'_>,
+    has_team_limit: TeamLimitCheck<'_>,
     limits: TransactionLimits,
 ) -> Vec<StagedTransaction> {
     let mut changes_by_job: BTreeMap<&JobId, Vec<&JobChange>> = BTreeMap::new();
--- a/src/jobs/commit/submission.rs
+++ b/src/jobs/commit/submission.rs
@@ -56,7 +56,7 @@
     let unwritten_block = TaskBlock::default();
     StoredJobRecord(
         spec,
-        if limits.packed {
+        if limits.write_packed_blocks {
             StoredBlock::Packed(unwritten_block)
         } else {
             StoredBlock::Plain(unwritten_block)
--- a/src/jobs/model/admission.rs
+++ b/src/jobs/model/admission.rs
@@ -28,7 +28,7 @@
     Malformed(&'static str),
     /// The job is valid but can never run on this cluster; answered with status 422. Contains the reason.
     #[error("can never run: {0}")]
-    Impossible(&'static str),
+    Infeasible(&'static str),
 }
 
 /// Amounts and times of a submission, all of them checked to be in range.
@@ -53,7 +53,7 @@
     let amounts = CheckedAmounts::from_submission(submission)?;
     let team = settings
         .team(&submission.team)
-        .ok_or(AdmissionError::Impossible("unknown team"))?;
+        .ok_or(AdmissionError::Infeasible("unknown team"))?;
     let machine_types = existing_machine_types(submission, types);
     check_fits_a_machine(
         submission,
@@ -185,7 +185,7 @@
     });
     match fits {
         true => Ok(()),
-        false => Err(AdmissionError::Impossible(
+        false => Err(AdmissionError::Infeasible(
             "a task fits no allowed machine type",
         )),
     }
@@ -211,7 +211,7 @@
     if exceeds(submission.cpus, resources.cpus, team.cpus_max)
         || exceeds(submission.gpus, resources.gpus, team.gpus_max)
     {
-        return Err(AdmissionError::Impossible("more than the team's limit"));
+        return Err(AdmissionError::Infeasible("more than the team's limit"));
     }
     Ok(())
 }
--- a/src/jobs/model/mod.rs
+++ b/src/jobs/model/mod.rs
@@ -16,7 +16,8 @@
 pub use resources::{MachineUsage, Resources};
 pub use spec::JobSpec;
 pub use task_block::{
-    BLOCK, MAX_TASKS, Placement, TaskBlock, TaskState, blocks, fresh, parse_task, task_name,
+    MAX_TASKS, Placement, TASKS_PER_BLOCK, TaskBlock, TaskState, block_count, parse_task,
+    task_name, unplaced_block,
 };
 
 /// Id of a job, chosen by its user.
--- a/src/jobs/model/packed_block.rs
+++ b/src/jobs/model/packed_block.rs
@@ -114,7 +114,7 @@
                     attempt: self.attempt,
                     machine,
                     session: self.session,
-                    stop: decode_grace(self.grace),
+                    stop_grace_period: decode_grace(self.grace),
                 });
             }
         });
@@ -211,7 +211,7 @@
     /// Number of slots in each part of a split block, whose slots are stored under separate keys and whose
     /// other fields are empty; 0 if the block is not split.
     #[serde(rename = "s", default, skip_serializing_if = "is_zero")]
-    pub(super) slots_per_part: u32,
+    pub(super) tasks_per_part: u32,
 }
 
 fn is_zero(number: &u32) -> bool {
@@ -219,10 +219,10 @@
 }
 
 impl PackedBlock {
-    /// Returns the marker of a block that is split into parts with `slots_per_part` slots.
-    pub(super) fn split(slots_per_part: u32) -> PackedBlock {
+    /// Returns the marker of a block that is split into parts with `tasks_per_part` slots.
+    pub(super) fn split(tasks_per_part: u32) -> PackedBlock {
         PackedBlock {
-            slots_per_part,
+            tasks_per_part,
             ..PackedBlock::default()
         }
     }
@@ -242,7 +242,7 @@
                     let shared = SharedPlacement {
                         session: placement.session,
                         attempt: placement.attempt,
-                        grace: encode_grace(placement.stop),
+                        grace: encode_grace(placement.stop_grace_period),
                     };
                     let group = placed.entry(shared).or_default();
                     group.push(slot, &placement.machine);
@@ -260,7 +260,7 @@
                 .into_iter()
                 .map(|(shared, group)| group.pack(shared))
                 .collect(),
-            slots_per_part: 0,
+            tasks_per_part: 0,
         }
     }
 }
--- a/src/jobs/model/records.rs
+++ b/src/jobs/model/records.rs
@@ -3,7 +3,7 @@
 
 use super::packed_block::PackedBlock;
 use super::task_block::PlainState;
-use super::{BLOCK, JobSpec, TaskBlock};
+use super::{JobSpec, TASKS_PER_BLOCK, TaskBlock};
 use crate::time::Micros;
 use serde::de::value::MapAccessDeserializer;
 use serde::de::{MapAccess, SeqAccess, Visitor};
@@ -27,8 +27,8 @@
         match self {
             StoredBlock::Plain(block) => block.serialize(serializer),
             StoredBlock::Packed(block) => PackedBlock::from(block).serialize(serializer),
-            StoredBlock::Split(slots_per_part) => {
-                PackedBlock::split(*slots_per_part).serialize(serializer)
+            StoredBlock::Split(tasks_per_part) => {
+                PackedBlock::split(*tasks_per_part).serialize(serializer)
             }
         }
     }
@@ -60,9 +60,9 @@
 
     fn visit_map<A: MapAccess<'de>>(self, fields: A) -> Result<StoredBlock, A::Error> {
         let packed = PackedBlock::deserialize(MapAccessDeserializer::new(fields))?;
-        Ok(match packed.slots_per_part {
+        Ok(match packed.tasks_per_part {
             0 => StoredBlock::Packed(packed.into()),
-            slots_per_part => StoredBlock::Split(slots_per_part.min(BLOCK)),
+            tasks_per_part => StoredBlock::Split(tasks_per_part.min(TASKS_PER_BLOCK)),
         })
     }
 }
--- a/src/jobs/model/resources.rs
+++ b/src/jobs/model/resources.rs
@@ -82,31 +82,31 @@
     /// Resources in use.
     pub used: Resources,
     /// Number of service tasks.
-    pub services: u32,
+    pub service_tasks: u32,
     /// CPUs of service tasks, in thousandths.
     pub service_cpus: i64,
     /// CPUs of array tasks that services may preempt, in thousandths.
     pub preemptible_cpus: i64,
     /// Number of backfill tasks, on machines with GPUs.
-    pub backfills: u32,
+    pub backfill_tasks: u32,
 }
 
 impl MachineUsage {
     /// Adds one task of a job.
     pub fn add(&mut self, spec: &JobSpec) {
         self.used.add(&spec.resources);
-        self.services += u32::from(spec.kind == JobKind::Service);
+        self.service_tasks += u32::from(spec.kind == JobKind::Service);
         self.service_cpus += spec.service_cpus();
         self.preemptible_cpus += spec.preemptible_cpus();
-        self.backfills += u32::from(spec.backfill());
+        self.backfill_tasks += u32::from(spec.is_backfill());
     }
 
     /// Removes one task of a job.
     pub fn remove(&mut self, spec: &JobSpec) {
         self.used.subtract(&spec.resources);
-        self.services -= u32::from(spec.kind == JobKind::Service);
+        self.service_tasks -= u32::from(spec.kind == JobKind::Service);
         self.service_cpus -= spec.service_cpus();
         self.preemptible_cpus -= spec.preemptible_cpus();
-        self.backfills -= u32::from(spec.backfill());
+        self.backfill_tasks -= u32::from(spec.is_backfill());
     }
 }
--- a/src/jobs/model/spec.rs
+++ b/src/jobs/model/spec.rs
@@ -76,7 +76,7 @@
     /// save checkpoints, and every job that needs GPUs has a higher priority, so they are preempted when
     /// such a job arrives or the machine is to be released. Other jobs that need no GPUs must not occupy
     /// these expensive machines.
-    pub fn backfill(&self) -> bool {
+    pub fn is_backfill(&self) -> bool {
         self.resources.gpus == 0
             && self.kind == JobKind::Array
             && self.priority == Priority::Low
@@ -101,7 +101,7 @@
 
     /// Returns whether both jobs have the same effect on [`MachineUsage`](super::MachineUsage) and on their
     /// team's quota.
-    pub fn weighs_as(&self, other: &JobSpec) -> bool {
+    pub fn has_same_usage(&self, other: &JobSpec) -> bool {
         self.task_count == other.task_count
             && self.resources == other.resources
             && self.kind == other.kind
--- a/src/jobs/model/task_block.rs
+++ b/src/jobs/model/task_block.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Number of tasks in a block. It must not change, because it is part of the layout of the stored state.
-pub const BLOCK: u32 = 256;
+pub const TASKS_PER_BLOCK: u32 = 256;
 /// Largest number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
 
@@ -23,7 +23,7 @@
     /// Session of the machine for which the start is valid.
     pub session: u64,
     /// Grace period of the stop request; `None` if the attempt was not requested to stop.
-    pub stop: Option<Micros>,
+    pub stop_grace_period: Option<Micros>,
 }
 
 /// State of a task.
@@ -39,7 +39,7 @@
 
 impl TaskState {
     /// Returns the number of the last attempt; 0 if the task is done.
-    pub fn attempt(&self) -> u32 {
+    pub fn last_attempt(&self) -> u32 {
         match self {
             TaskState::Waiting(attempts) => *attempts,
             TaskState::Placed(placement) => placement.attempt,
@@ -48,18 +48,20 @@
     }
 }
 
-/// States of up to [`BLOCK`] tasks, in the order of their indexes.
+/// States of up to [`TASKS_PER_BLOCK`] tasks, in the order of their indexes.
 #[derive(Clone, Debug, PartialEq, Eq, Default)]
 pub struct TaskBlock(pub Vec<TaskState>);
 
 /// Returns the number of blocks of a job with `task_count` tasks.
-pub fn blocks(task_count: u32) -> u32 {
-    task_count.div_ceil(BLOCK)
+pub fn block_count(task_count: u32) -> u32 {
+    task_count.div_ceil(TASKS_PER_BLOCK)
 }
 
 /// Returns block `block` of a job with `task_count` tasks, before any task was placed.
-pub fn fresh(task_count: u32, block: u32) -> TaskBlock {
-    let len = task_count.saturating_sub(block * BLOCK).min(BLOCK);
+pub fn unplaced_block(task_count: u32, block: u32) -> TaskBlock {
+    let len = task_count
+        .saturating_sub(block * TASKS_PER_BLOCK)
+        .min(TASKS_PER_BLOCK);
     TaskBlock(vec![TaskState::Waiting(0); len as usize])
 }
 
@@ -92,7 +94,7 @@
                 placement.attempt,
                 placement.machine.to_string(),
                 placement.session,
-                encode_grace(placement.stop),
+                encode_grace(placement.stop_grace_period),
             ),
             TaskState::Done => (KIND_DONE, 0, String::new(), 0, 0),
         }
@@ -106,7 +108,7 @@
                 attempt,
                 machine: machine.into(),
                 session,
-                stop: decode_grace(grace),
+                stop_grace_period: decode_grace(grace),
             }),
             KIND_DONE => TaskState::Done,
             _ => TaskState::Waiting(attempt),
--- a/src/jobs/pipelines.rs
+++ b/src/jobs/pipelines.rs
@@ -19,14 +19,14 @@
     /// have to be read.
     Unknown(Vec<JobId>),
     /// The job can never run; answered with status 422. Contains the reason.
-    Impossible(&'static str),
+    Infeasible(&'static str),
 }
 
 /// Checks the dependencies `names` of a submission with the id `id`.
 pub fn check_dependencies(view: &ClusterState, id: &str, names: &[String]) -> DependencyCheck {
     let names: BTreeSet<&str> = names.iter().map(String::as_str).collect();
     if names.contains(id) {
-        return DependencyCheck::Impossible("waits for itself");
+        return DependencyCheck::Infeasible("waits for itself");
     }
     let mut dependencies = Vec::new();
     let mut unknown = Vec::new();
@@ -36,7 +36,7 @@
             (Some(end), _) if end.cancelled => cancelled = Some(name),
             (Some(_), _) => {}
             (None, Some(job)) if job.spec.kind == JobKind::Service => {
-                return DependencyCheck::Impossible("waits for a service");
+                return DependencyCheck::Infeasible("waits for a service");
             }
             (None, Some(_)) => dependencies.push(name.into()),
             (None, None) => unknown.push(name.into()),
@@ -67,7 +67,7 @@
 /// Returns the answer about a job according to the cluster state; `None` if the job is not in it. Callers
 /// may answer without a newer read only if the state is final, and not at all while the state of a direct
 /// or indirect dependency is unknown (`ClusterState::unknown_ancestors`).
-pub fn answer(view: &ClusterState, id: &str) -> Option<JobAnswer> {
+pub fn job_answer(view: &ClusterState, id: &str) -> Option<JobAnswer> {
     if let Some(finished) = view.known_finished_job(id) {
         return Some(finished_job_answer(id, finished));
     }
--- a/src/reconciliation/decide.rs
+++ b/src/reconciliation/decide.rs
@@ -5,7 +5,7 @@
 
 use super::write_delay::{STOPPED_TASK_WRITE_DELAY, write_delay};
 use crate::ids::MachineId;
-use crate::jobs::commit::{HasTeamLimit, JobChange, StagedTransaction, TransactionLimits, stage};
+use crate::jobs::commit::{JobChange, StagedTransaction, TeamLimitCheck, TransactionLimits, stage};
 use crate::jobs::model::{JobId, Resources};
 use crate::store::cluster_state::ClusterState;
 use crate::time::{Micros, SECOND};
@@ -76,7 +76,7 @@
     /// Limits of a transaction.
     pub limits: TransactionLimits,
     /// Returns whether a team has a limit.
-    pub has_team_limit: HasTeamLimit<'a>,
+    pub has_team_limit: TeamLimitCheck<'a>,
     /// Computes the plan.
     pub plan: Planner<'a>,
     /// Monotonic time of the pass.
--- a/src/reconciliation/write_delay.rs
+++ b/src/reconciliation/write_delay.rs
@@ -46,7 +46,7 @@
     match change {
         JobChange::AttemptEnded { index, .. } => matches!(
             job.slot(*index),
-            Some(TaskState::Placed(placement)) if placement.stop.is_some()
+            Some(TaskState::Placed(placement)) if placement.stop_grace_period.is_some()
         ),
         _ => false,
     }
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -54,7 +54,7 @@
         {
             return candidate.free;
         }
-        if has_cpu_only_types && !spec.backfill() {
+        if has_cpu_only_types && !spec.is_backfill() {
             return Resources::default();
         }
         if has_cpu_only_types && !self.gpu_task_waiting {
@@ -84,7 +84,7 @@
 /// Returns whether a machine runs only backfill tasks, or no tasks at all.
 pub fn backfill_only(view: &ClusterState, id: &MachineId, machine: &MachineRecord) -> bool {
     view.tasks_on(id).is_none_or(|tasks| {
-        view.usage(id).backfills as usize == tasks.len()
+        view.usage(id).backfill_tasks as usize == tasks.len()
             && view
                 .machine_types
                 .get(&machine.machine_type)
@@ -108,11 +108,11 @@
             stops: Vec::new(),
         };
         for ((id, index), placement) in view.tasks_on(machine).into_iter().flatten() {
-            let Some(job) = view.jobs.get(id).filter(|job| job.spec.backfill()) else {
+            let Some(job) = view.jobs.get(id).filter(|job| job.spec.is_backfill()) else {
                 continue;
             };
             backfill.resources.add(&job.spec.resources);
-            if placement.stop.is_none() && !job.cancelled() {
+            if placement.stop_grace_period.is_none() && !job.cancelled() {
                 backfill.stops.push(JobChange::Stop {
                     job: id.clone(),
                     index: *index,
--- a/src/scheduling/bin_packing.rs
+++ b/src/scheduling/bin_packing.rs
@@ -46,7 +46,7 @@
         TaskShape {
             resources: [resources.cpus, resources.gpus, resources.memory],
             service: spec.kind == JobKind::Service,
-            backfill: spec.backfill(),
+            backfill: spec.is_backfill(),
             allow_spot: spec.allow_spot,
             machine_types: spec.machine_types.as_ref(),
             zone: spec.zone.as_ref(),
--- a/src/scheduling/draining.rs
+++ b/src/scheduling/draining.rs
@@ -66,7 +66,7 @@
     };
     for (index, placement) in job.placements() {
         if placement
-            .stop
+            .stop_grace_period
             .is_none_or(|earlier| lost_a_task && earlier > grace)
         {
             changes.push(JobChange::Stop {
@@ -104,7 +104,7 @@
         let Some(grace) = grace_period(job) else {
             continue;
         };
-        if placement.stop.is_none() {
+        if placement.stop_grace_period.is_none() {
             changes.push(JobChange::Stop {
                 job: id.clone(),
                 index: *index,
--- a/src/scheduling/preemption.rs
+++ b/src/scheduling/preemption.rs
@@ -56,7 +56,7 @@
                 continue;
             };
             let task_spec = &job.spec;
-            if placement.stop.is_some() || job.cancelled() {
+            if placement.stop_grace_period.is_some() || job.cancelled() {
                 found.stopping.add(&task_spec.resources);
             } else if task_spec.priority > spec.priority
                 && task_spec.priority >= Priority::Normal
--- a/src/store/cluster_state/job.rs
+++ b/src/store/cluster_state/job.rs
@@ -1,6 +1,8 @@
 //! [`Job`]: an unfinished job with its task blocks and the properties derived from its pipeline.
 
-use crate::jobs::model::{BLOCK, JobId, JobSpec, Placement, TaskBlock, TaskState, blocks, fresh};
+use crate::jobs::model::{
+    JobId, JobSpec, Placement, TASKS_PER_BLOCK, TaskBlock, TaskState, block_count, unplaced_block,
+};
 use crate::time::Micros;
 use crate::wire::user::Priority;
 use std::rc::Rc;
@@ -53,9 +55,11 @@
     /// Creates a job of which no block was read yet.
     pub(super) fn new(spec: Rc<JobSpec>, has_dependents: bool) -> Job {
         let tasks = spec.task_count;
-        let block_count = blocks(tasks);
+        let block_count = block_count(tasks);
         Job {
-            blocks: (0..block_count).map(|block| fresh(tasks, block)).collect(),
+            blocks: (0..block_count)
+                .map(|block| unplaced_block(tasks, block))
+                .collect(),
             waiting: tasks,
             placed: 0,
             done: 0,
@@ -101,9 +105,9 @@
     /// Returns the state of the task with this index.
     pub fn slot(&self, index: u32) -> Option<&TaskState> {
         self.blocks
-            .get((index / BLOCK) as usize)?
+            .get((index / TASKS_PER_BLOCK) as usize)?
             .0
-            .get((index % BLOCK) as usize)
+            .get((index % TASKS_PER_BLOCK) as usize)
     }
 
     /// Returns the states of all tasks with their indexes.
--- a/src/store/cluster_state/job_records.rs
+++ b/src/store/cluster_state/job_records.rs
@@ -25,7 +25,7 @@
 
     /// Sets a job's specification. Its blocks stay unchanged.
     fn put_job(&mut self, id: JobId, spec: Rc<JobSpec>) {
-        let usage_differs = |job: &Job| !job.spec.weighs_as(&spec);
+        let usage_differs = |job: &Job| !job.spec.has_same_usage(&spec);
         if self.jobs.get(&id).is_some_and(usage_differs) {
             self.remove_job(&id);
         }
--- a/src/store/cluster_state/task_blocks.rs
+++ b/src/store/cluster_state/task_blocks.rs
@@ -4,7 +4,8 @@
 use super::{ClusterState, Job};
 use crate::ids::MachineId;
 use crate::jobs::model::{
-    BLOCK, JobId, JobSpec, MachineUsage, Placement, StoredBlock, TaskBlock, TaskState, fresh,
+    JobId, JobSpec, MachineUsage, Placement, StoredBlock, TASKS_PER_BLOCK, TaskBlock, TaskState,
+    unplaced_block,
 };
 use crate::wire::from_value;
 use ciborium::Value;
@@ -190,7 +191,10 @@
         let Some(current) = job.blocks.get_mut(block as usize) else {
             return;
         };
-        let old = std::mem::replace(current, tasks.unwrap_or_else(|| fresh(task_count, block)));
+        let old = std::mem::replace(
+            current,
+            tasks.unwrap_or_else(|| unplaced_block(task_count, block)),
+        );
         let placed_before = job.placed;
         let mut locations = TaskLocations {
             tasks_by_machine: &mut self.tasks_by_machine,
@@ -218,7 +222,7 @@
         if old_state == new_state {
             continue;
         }
-        let index = block * BLOCK + position as u32;
+        let index = block * TASKS_PER_BLOCK + position as u32;
         match old_state {
             Some(TaskState::Waiting(_)) => job.waiting -= 1,
             Some(TaskState::Done) => job.done -= 1,
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -68,7 +68,7 @@
 ) -> Option<Micros> {
     match view.jobs.get(job) {
         Some(job) if job.cancelled() => Some(0),
-        _ => placement.stop,
+        _ => placement.stop_grace_period,
     }
 }
 
--- a/src/workers/machine_records.rs
+++ b/src/workers/machine_records.rs
@@ -175,7 +175,7 @@
             many_partitioned: many_inbound_partitions(&machines),
             max_declared_dead: self
                 .limits()
-                .newer_layout
+                .write_newer_layout
                 .then(|| self.machines_per_request()),
             max_up_write_delay: max_up_write_delay(&view, &machines),
             budget: WriteBudget::from_level(self.watch_cache.client().write_level()),
--- a/src/workers/probing.rs
+++ b/src/workers/probing.rs
@@ -92,7 +92,7 @@
 
 /// Returns whether service replicas run on a machine.
 pub(super) fn runs_replicas(view: &ClusterState, id: &MachineId) -> bool {
-    view.usage(id).services > 0
+    view.usage(id).service_tasks > 0
 }
 
 /// Returns the time without contact after which machines with replicas are probed, for this number of
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -48,7 +48,7 @@
         attempt,
         machine: "m".into(),
         session: 1,
-        stop: None,
+        stop_grace_period: None,
     })
 }
 
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -45,7 +45,7 @@
     match validate(&submission, &settings(), &machine_types(), 1) {
         Ok(_) => 201,
         Err(AdmissionError::Malformed(_)) => 400,
-        Err(AdmissionError::Impossible(_)) => 422,
+        Err(AdmissionError::Infeasible(_)) => 422,
     }
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -19,8 +19,8 @@
     max_merged_mutations: 16,
     max_bytes: 48_000,
     max_value_bytes: 32_000,
-    newer_layout: false,
-    packed: false,
+    write_newer_layout: false,
+    write_packed_blocks: false,
     wall_clock: 0,
 };
 
--- a/tests/completion_races.rs
+++ b/tests/completion_races.rs
@@ -5,8 +5,10 @@
 
 use common::{LIMITS, Store, spec};
 use coppergw::jobs::commit::{JobChange, accept_submission, cancel, stage};
-use coppergw::jobs::model::{FinishedJob, JobId, JobRecord, JobSpec, Placement, TaskState, fresh};
-use coppergw::jobs::pipelines::answer;
+use coppergw::jobs::model::{
+    FinishedJob, JobId, JobRecord, JobSpec, Placement, TaskState, unplaced_block,
+};
+use coppergw::jobs::pipelines::job_answer;
 use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
 use coppergw::wire::state::{Mutation, Transaction};
@@ -68,11 +70,11 @@
                     attempt: 1,
                     machine: "m-1".into(),
                     session: 1,
-                    stop: None,
+                    stop_grace_period: None,
                 });
             };
-            let mut first_block = fresh(tasks, 0);
-            let mut second_block = fresh(tasks, 1);
+            let mut first_block = unplaced_block(tasks, 0);
+            let mut second_block = unplaced_block(tasks, 1);
             if job_index != 3 {
                 first_block.0.iter_mut().for_each(place);
                 second_block.0.iter_mut().for_each(place);
@@ -142,7 +144,7 @@
 
     /// Returns the status of a job if it is final according to the view of a controller.
     fn final_status(&self, node: usize, id: &str) -> Option<Status> {
-        let answer = answer(&self.controllers[node].view, id)?;
+        let answer = job_answer(&self.controllers[node].view, id)?;
         matches!(answer.status, Status::Done | Status::Cancelled).then_some(answer.status)
     }
 
@@ -201,7 +203,7 @@
             self.sync(node);
             self.read_final(node, id);
         }
-        let answer = answer(&self.controllers[node].view, id);
+        let answer = job_answer(&self.controllers[node].view, id);
         let status = answer.expect("forgotten: 404").status;
         self.record_answer(job_index, status);
         status
@@ -225,7 +227,7 @@
     /// Repeats the submission of a job.
     fn resubmit(&mut self, node: usize, job_index: usize, outcome: u8) {
         let id = JOBS[job_index].0;
-        if answer(&self.controllers[node].view, id).is_some() {
+        if job_answer(&self.controllers[node].view, id).is_some() {
             self.query_status(node, job_index);
             return;
         }
--- a/tests/concurrent_failures/world.rs
+++ b/tests/concurrent_failures/world.rs
@@ -5,7 +5,7 @@
 use crate::common::{LIMITS, Store, spec};
 use coppergw::jobs::commit::cancel;
 use coppergw::jobs::model::{JobRecord, Placement, TaskBlock, TaskState};
-use coppergw::jobs::pipelines::answer;
+use coppergw::jobs::pipelines::job_answer;
 use coppergw::membership::cancellation_watermark::{
     CancellationWatermarks, DigestExchange, DigestInputs, cancellation_digest,
     confirmation_hold_end,
@@ -119,7 +119,7 @@
                 attempt: 1,
                 machine: format!("m-{task}").as_str().into(),
                 session: 1,
-                stop: None,
+                stop_grace_period: None,
             };
             let job = JobRecord(
                 spec(JobKind::Array, 1),
@@ -223,7 +223,7 @@
     /// Answers a status query of a user. `cancelled` may be answered from the view.
     pub(crate) fn query_status(&mut self, node: usize, task: usize) {
         let controller = &self.controllers[node];
-        let status = answer(&controller.view, &job_id(task));
+        let status = job_answer(&controller.view, &job_id(task));
         if status.is_some_and(|answer| answer.status == Status::Cancelled)
             && self.now >= controller.confirmation_hold_end
         {
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::SETTINGS;
-use coppergw::jobs::api::names_dependencies;
+use coppergw::jobs::api::has_dependencies;
 use coppergw::jobs::model::{AdmissionError, Placement, TaskBlock, TaskState, validate};
 use coppergw::policy::Policy;
 use coppergw::settings::Settings;
@@ -67,13 +67,13 @@
 #[test]
 fn submissions_with_dependencies_are_detected() {
     let with = |dependencies: Option<Vec<String>>| {
-        names_dependencies(&encode(&Submission {
+        has_dependencies(&encode(&Submission {
             dependencies,
             ..submission()
         }))
     };
     assert!(with(Some(vec!["req-1".into()])));
-    assert!(!with(Some(Vec::new())) && !with(None) && !names_dependencies(b"x"));
+    assert!(!with(Some(Vec::new())) && !with(None) && !has_dependencies(b"x"));
 }
 
 /// Invalid submissions: status 422 as the protocol defines it for each kind of job, and 400 if malformed.
@@ -86,7 +86,7 @@
         match validate(&submission, &settings, &machine_types, 1) {
             Ok(_) => 201,
             Err(AdmissionError::Malformed(_)) => 400,
-            Err(AdmissionError::Impossible(_)) => 422,
+            Err(AdmissionError::Infeasible(_)) => 422,
         }
     };
     assert_eq!(status(&|_| ()), 201);
@@ -186,7 +186,7 @@
                 attempt,
                 machine: machine.into(),
                 session,
-                stop: stop.map(|ms| u64::from(ms) * 1000),
+                stop_grace_period: stop.map(|ms| u64::from(ms) * 1000),
             })
         },
     );
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -225,8 +225,8 @@
     let id = "req-000412";
     let plain = LIMITS;
     let packed = TransactionLimits {
-        newer_layout: true,
-        packed: true,
+        write_newer_layout: true,
+        write_packed_blocks: true,
         ..LIMITS
     };
     for (form, limits) in [("plain", plain), ("packed", packed)] {
--- a/tests/invariants/controllers.rs
+++ b/tests/invariants/controllers.rs
@@ -268,7 +268,7 @@
         let controller = &self.controllers[controller_index];
         let owns = |name: &str| terms[shard_of(name) as usize].is_some();
         let can_stop = |placement: &&(u32, &Placement)| {
-            placement.1.stop.is_none() && owns(&placement.1.machine)
+            placement.1.stop_grace_period.is_none() && owns(&placement.1.machine)
         };
         let jobs = controller.view.jobs.iter().skip(outcome as usize / 32);
         let (id, (index, placement)) = jobs
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -16,7 +16,7 @@
     FinishedJob, JobId, JobIdList, JobRecord, JobSpec, Placement, Resources, StoredBlock,
     TaskBlock, TaskState,
 };
-use coppergw::jobs::pipelines::{DependencyCheck, answer, check_dependencies};
+use coppergw::jobs::pipelines::{DependencyCheck, check_dependencies, job_answer};
 use coppergw::membership::{LAYOUT_VERSION, LayoutVersion, Member, all_support_layout};
 use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
@@ -214,8 +214,8 @@
             max_merged_mutations: 8,
             max_bytes: 48 * 1024,
             max_value_bytes: value_limit - 48,
-            newer_layout: layout,
-            packed: layout,
+            write_newer_layout: layout,
+            write_packed_blocks: layout,
             wall_clock: self.wall_clock,
         }
     }
@@ -457,7 +457,8 @@
     /// Returns the status of a job as a user receives it.
     fn poll(&mut self, controller: usize, id: &str) -> Option<Status> {
         let is_final = |s: Status| matches!(s, Status::Done | Status::Cancelled);
-        let mut status = answer(&self.controllers[controller].view, id).map(|answer| answer.status);
+        let mut status =
+            job_answer(&self.controllers[controller].view, id).map(|answer| answer.status);
         if !status.is_some_and(is_final) {
             if status.is_none() {
                 self.read_finished_job(controller, id);
@@ -469,7 +470,7 @@
                     "neither unfinished nor finished: {ancestor}"
                 );
             }
-            status = answer(&self.controllers[controller].view, id).map(|answer| answer.status);
+            status = job_answer(&self.controllers[controller].view, id).map(|answer| answer.status);
         }
         let status = status.expect("forgotten");
         let cancelled = self.store.cancelled(&self.dependencies, id);
@@ -712,7 +713,7 @@
                 attempt: *attempt,
                 machine: format!("m-{machine}").into(),
                 session: *session,
-                stop: (*kind == 3).then_some(6_000_000),
+                stop_grace_period: (*kind == 3).then_some(6_000_000),
             }),
         }).collect());
         for form in [StoredBlock::Plain(block.clone()), StoredBlock::Packed(block.clone()), StoredBlock::Split(64)] {
@@ -727,7 +728,7 @@
             attempt: 1 + index % 3,
             machine: format!("m-{index:06}").into(),
             session: 1,
-            stop: None,
+            stop_grace_period: None,
         })
     };
     TaskBlock((0..tasks).map(place).collect())
@@ -987,8 +988,8 @@
         check(&["req-5", "req-1"]),
         DependencyCheck::Unknown(vec!["req-5".into()])
     );
-    assert!(matches!(check(&["req-9"]), DependencyCheck::Impossible(_)));
-    assert!(matches!(check(&["req-2"]), DependencyCheck::Impossible(_)));
+    assert!(matches!(check(&["req-9"]), DependencyCheck::Infeasible(_)));
+    assert!(matches!(check(&["req-2"]), DependencyCheck::Infeasible(_)));
 }
 
 /// The ancestors of the last job of a pipeline inherit its priority and deadline; the waiting time of a job
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -447,7 +447,7 @@
             attempt: 1,
             machine: machine.into(),
             session: 1,
-            stop: None,
+            stop_grace_period: None,
         })
     };
     let cancelled_job = JobSpec {
--- a/tests/reconciliation.rs
+++ b/tests/reconciliation.rs
@@ -34,7 +34,7 @@
                     attempt: 1,
                     machine: format!("m-{machine:06}").into(),
                     session: 1,
-                    stop: None,
+                    stop_grace_period: None,
                 })
             };
             let attempt_ended = JobChange::AttemptEnded {
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -251,7 +251,7 @@
         for (index, spec) in specs.iter().enumerate() {
             put(&mut view, &keys::job(&format!("req-{index}")), &record(spec));
         }
-        let limits = TransactionLimits { max_mutations: 16, max_merged_mutations: 16, max_bytes: 48_000 , max_value_bytes: 32_000, newer_layout: false, packed: false, wall_clock: 0};
+        let limits = TransactionLimits { max_mutations: 16, max_merged_mutations: 16, max_bytes: 48_000 , max_value_bytes: 32_000, write_newer_layout: false, write_packed_blocks: false, wall_clock: 0};
         for _ in 0..4 {
             let changes = schedule_changes(&view);
             let staged_transactions = stage(&view, &changes, &HashSet::new(), &|t| t == "capped", limits);
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -178,7 +178,7 @@
         attempt: 1,
         machine: machine.into(),
         session: 1,
-        stop: None,
+        stop_grace_period: None,
     })
 }
 
