--- a/src/autoscaler/reconciler.rs
+++ b/src/autoscaler/reconciler.rs
@@ -139,7 +139,7 @@
         if now.saturating_sub(state.machine_list_read_at) > list_interval {
             state.machine_list_read_at = now;
             self.reconcile_with_machine_list(state).await;
-            self.clean().await;
+            self.delete_keys_of_ended_jobs().await;
             self.close_scale_out_requests().await;
             self.delete_terminated_machines().await;
         }
--- a/src/reconciliation/decide.rs
+++ b/src/reconciliation/decide.rs
@@ -42,11 +42,11 @@
 pub struct PlanRequest<'a> {
     /// Resources of tasks that have left their machine, by machine. The stored task blocks do not record
     /// this yet.
-    pub freed: &'a HashMap<MachineId, Resources>,
+    pub released_resources: &'a HashMap<MachineId, Resources>,
     /// Whether arrays are placed.
-    pub arrays: bool,
+    pub place_arrays: bool,
     /// Whether gangs and pipeline steps with a deadline are placed.
-    pub deadline_steps: bool,
+    pub place_deadline_steps: bool,
     /// Number of jobs for which changes can be written; `None` for no limit.
     pub max_jobs: Option<usize>,
 }
@@ -95,7 +95,7 @@
 /// Ended attempts of jobs that are in the view.
 struct EndedAttempts {
     /// Resources that the ended attempts free, by machine.
-    freed: HashMap<MachineId, Resources>,
+    released_resources: HashMap<MachineId, Resources>,
     by_job: BTreeMap<JobId, Vec<JobChange>>,
 }
 
@@ -132,7 +132,7 @@
 impl WriteSchedule {
     /// Returns the transactions of this pass that fit the write budget, the most urgent first. Changes
     /// that do not fit are computed again in the next pass.
-    pub fn decide(&mut self, input: &ReconcileInput<'_>) -> Vec<StagedTransaction> {
+    pub fn stage_due_writes(&mut self, input: &ReconcileInput<'_>) -> Vec<StagedTransaction> {
         let ended = EndedAttempts::collect(input);
         let mut due = self.due_writes(input, &ended);
         let Some(round) = self.next_round(input) else {
@@ -237,7 +237,7 @@
 impl EndedAttempts {
     fn collect(input: &ReconcileInput<'_>) -> EndedAttempts {
         let mut ended = EndedAttempts {
-            freed: HashMap::new(),
+            released_resources: HashMap::new(),
             by_job: BTreeMap::new(),
         };
         for (machine, changes) in input.ended_attempts {
@@ -246,7 +246,7 @@
                     continue;
                 };
                 ended
-                    .freed
+                    .released_resources
                     .entry(machine.clone())
                     .or_default()
                     .add(&job.spec.resources);
@@ -280,9 +280,9 @@
 fn plan(input: &ReconcileInput<'_>, ended: &EndedAttempts, round: &PlanRound) -> PlannedChanges {
     let writes = input.write_budget.available as usize;
     let changes = (input.plan)(&PlanRequest {
-        freed: &ended.freed,
-        arrays: round.place_arrays,
-        deadline_steps: round.place_deadline_steps,
+        released_resources: &ended.released_resources,
+        place_arrays: round.place_arrays,
+        place_deadline_steps: round.place_deadline_steps,
         // Overdue arrays have a separate share of the budget, regardless of the jobs ahead of them.
         max_jobs: (!round.arrays_overdue)
             .then(|| writes * PLANNED_JOBS_PER_WRITE + EXTRA_PLANNED_JOBS),
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -240,7 +240,7 @@
         let plan = |request: &PlanRequest<'_>| self.plan(view, &scope.terms, request, scope.now);
         let reconciler = &self.reconciler;
         let mut schedule = reconciler.write_schedule.borrow_mut();
-        schedule.decide(&ReconcileInput {
+        schedule.stage_due_writes(&ReconcileInput {
             view,
             ended_attempts: &reconciler.ended_attempts.borrow(),
             jobs_in_flight: &reconciler.jobs_in_flight.borrow(),
@@ -312,7 +312,7 @@
     }
 
     /// Deletes remaining keys of ended jobs.
-    pub async fn clean(&self) {
+    pub async fn delete_keys_of_ended_jobs(&self) {
         loop {
             let transaction = collect_garbage(&self.watch_cache.view(), self.limits());
             let Some(transaction) = transaction else {
--- a/src/reconciliation/planning.rs
+++ b/src/reconciliation/planning.rs
@@ -41,7 +41,7 @@
             return Vec::new();
         }
         let machines = self.workers.machines();
-        let place_gangs = request.deadline_steps && terms[GANG_SHARD as usize].is_some();
+        let place_gangs = request.place_deadline_steps && terms[GANG_SHARD as usize].is_some();
         let scope = PlanScope {
             controller: self,
             view,
@@ -62,13 +62,13 @@
             teams: &self.settings.teams,
             objectives: &self.settings.objectives,
             schedulable_machine: &schedulable,
-            released_resources: request.freed,
+            released_resources: request.released_resources,
             in_backoff: &in_backoff,
             owns_job: &owns,
             owns_machine: &owns,
             place_gangs,
-            place_arrays: request.arrays,
-            place_deadline_steps: request.deadline_steps,
+            place_arrays: request.place_arrays,
+            place_deadline_steps: request.place_deadline_steps,
             forecast: false,
             write_limit: request.max_jobs.map(|max_jobs| WriteLimit {
                 max_jobs,
--- a/tests/reconciliation.rs
+++ b/tests/reconciliation.rs
@@ -94,7 +94,7 @@
         let mut written = 0;
         for round in 0..60u64 {
             let available = if round == 0 { available } else { BURST_CHANGES };
-            let staged = schedule.decide(&ReconcileInput {
+            let staged = schedule.stage_due_writes(&ReconcileInput {
                 view: &view,
                 ended_attempts: &ended,
                 jobs_in_flight: &staged_jobs,
@@ -123,7 +123,7 @@
     let (view, ended) = view(4, 4);
     let mut schedule = WriteSchedule::default();
     let mut decide_at = |now, available| {
-        schedule.decide(&ReconcileInput {
+        schedule.stage_due_writes(&ReconcileInput {
             view: &view,
             ended_attempts: &ended,
             jobs_in_flight: &HashSet::default(),
@@ -149,7 +149,7 @@
     let mut schedule = WriteSchedule::default();
     let mut requests = |now, available| {
         let recorded = std::cell::RefCell::new(Vec::new());
-        schedule.decide(&ReconcileInput {
+        schedule.stage_due_writes(&ReconcileInput {
             view: &view,
             ended_attempts: &ended,
             jobs_in_flight: &HashSet::default(),
@@ -159,7 +159,7 @@
             plan: &|request| {
                 recorded
                     .borrow_mut()
-                    .push((request.arrays, request.max_jobs));
+                    .push((request.place_arrays, request.max_jobs));
                 Vec::new()
             },
             now,
