--- a/src/fairness/minimum_share.rs
+++ b/src/fairness/minimum_share.rs
@@ -10,7 +10,7 @@
 use crate::wire::user::Priority;
 
 /// Share of the capacity used by a scope's arrays that all its starved classes together get.
-pub const SHARE: f64 = 1.0 / 3.0;
+pub const MINIMUM_SHARE: f64 = 1.0 / 3.0;
 /// Share of the longest objective of its class after which a job is overdue; it can still meet that
 /// objective.
 const OVERDUE_OBJECTIVE_SHARE: f64 = 0.3;
@@ -24,9 +24,9 @@
     /// Priority of the class.
     pub priority: Priority,
     /// Q: CPUs requested by waiting tasks.
-    pub waiting: i64,
+    pub waiting_millicpus: i64,
     /// R: CPUs used by running tasks.
-    pub running: i64,
+    pub running_millicpus: i64,
     /// t: run time of a task in microseconds: the mean of the users' estimates, weighted by CPUs.
     pub mean_run_time_us: f64,
     /// Whether a job of the class has waited for longer than `overdue_after`.
@@ -36,19 +36,22 @@
 impl ClassDemand {
     /// Adds a job of the class, given its CPUs and the estimated run time of its tasks.
     pub fn add(&mut self, waiting: i64, running: i64, estimate: Micros) {
-        let (old, new) = (self.waiting + self.running, waiting + running);
+        let (old, new) = (
+            self.waiting_millicpus + self.running_millicpus,
+            waiting + running,
+        );
         if new > 0 {
             let sum = self.mean_run_time_us * old as f64 + estimate as f64 * new as f64;
             self.mean_run_time_us = sum / (old + new) as f64;
         }
-        self.waiting += waiting;
-        self.running += running;
+        self.waiting_millicpus += waiting;
+        self.running_millicpus += running;
     }
 
     /// Returns w of equation 3 with P = 1: the fraction of the class's work that is pending, times T of
     /// equation 4, its t divided by the largest t.
     fn pending_fraction(&self, max_run_time_us: f64) -> f64 {
-        let all = self.waiting + self.running;
+        let all = self.waiting_millicpus + self.running_millicpus;
         if all == 0 {
             return 0.0;
         }
@@ -57,7 +60,7 @@
         } else {
             1.0
         };
-        self.waiting as f64 / all as f64 * max_median_ratio
+        self.waiting_millicpus as f64 / all as f64 * max_median_ratio
     }
 
     /// Returns whether a job of the class is overdue while a running class of higher priority has a smaller
@@ -65,10 +68,10 @@
     fn is_starved(&self, classes: &[ClassDemand], max_run_time_us: f64) -> bool {
         let mut higher_priority_classes = classes
             .iter()
-            .filter(|other| other.priority < self.priority && other.running > 0);
+            .filter(|other| other.priority < self.priority && other.running_millicpus > 0);
         let fraction = self.pending_fraction(max_run_time_us);
         self.overdue
-            && self.waiting > 0
+            && self.waiting_millicpus > 0
             && higher_priority_classes
                 .any(|other| other.pending_fraction(max_run_time_us) < fraction)
     }
@@ -88,7 +91,7 @@
 }
 
 /// Returns for each class the CPUs, in thousandths, that its waiting tasks may use now as if they had the
-/// highest priority among arrays. All starved classes together get `SHARE` of the CPUs in use, in equal
+/// highest priority among arrays. All starved classes together get `MINIMUM_SHARE` of the CPUs in use, in equal
 /// parts, minus the CPUs that they use already: a class that uses its part is not raised above its
 /// priority.
 pub fn minimum_share(classes: &[ClassDemand]) -> Vec<i64> {
@@ -97,13 +100,13 @@
         .map(|class| class.mean_run_time_us)
         .fold(0.0, f64::max);
     let is_starved = |class: &&ClassDemand| class.is_starved(classes, max_run_time_us);
-    let running: i64 = classes.iter().map(|class| class.running).sum();
+    let running: i64 = classes.iter().map(|class| class.running_millicpus).sum();
     let starved_classes = classes.iter().filter(is_starved).count().max(1) as i64;
-    let share_per_class = (running as f64 * SHARE) as i64 / starved_classes;
+    let share_per_class = (running as f64 * MINIMUM_SHARE) as i64 / starved_classes;
     classes
         .iter()
         .map(|class| match is_starved(&class) {
-            true => (share_per_class - class.running).clamp(0, class.waiting),
+            true => (share_per_class - class.running_millicpus).clamp(0, class.waiting_millicpus),
             false => 0,
         })
         .collect()
--- a/src/fairness/minimum_share/tests.rs
+++ b/src/fairness/minimum_share/tests.rs
@@ -3,11 +3,16 @@
 use super::*;
 use proptest::prelude::*;
 
-fn class(priority: Priority, waiting: i64, running: i64, overdue: bool) -> ClassDemand {
+fn class(
+    priority: Priority,
+    waiting_millicpus: i64,
+    running_millicpus: i64,
+    overdue: bool,
+) -> ClassDemand {
     ClassDemand {
         priority,
-        waiting,
-        running,
+        waiting_millicpus,
+        running_millicpus,
         mean_run_time_us: 1.0,
         overdue,
     }
@@ -51,7 +56,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// For any classes: the sum of the minimum shares stays within `SHARE`, no class of the highest
+    /// For any classes: the sum of the minimum shares stays within `MINIMUM_SHARE`, no class of the highest
     /// priority has a minimum share, and an overdue class without running tasks always gets one while a
     /// class of higher priority runs.
     #[test]
@@ -62,14 +67,14 @@
         let classes: Vec<ClassDemand> = classes.iter()
             .map(|(priority, waiting, running, overdue)| class(priorities[*priority], waiting * 1000, running * 1000, *overdue)).collect();
         let shares = minimum_share(&classes);
-        let running: i64 = classes.iter().map(|demand| demand.running).sum();
-        prop_assert!(shares.iter().sum::<i64>() as f64 <= running as f64 * SHARE);
+        let running: i64 = classes.iter().map(|demand| demand.running_millicpus).sum();
+        prop_assert!(shares.iter().sum::<i64>() as f64 <= running as f64 * MINIMUM_SHARE);
         let highest_priority = classes.iter().map(|demand| demand.priority).min();
         for (demand, share) in classes.iter().zip(&shares) {
-            prop_assert!(*share >= 0 && *share <= demand.waiting);
+            prop_assert!(*share >= 0 && *share <= demand.waiting_millicpus);
             prop_assert!(*share == 0 || (Some(demand.priority) != highest_priority && demand.overdue));
-            let higher_class_runs = classes.iter().any(|other| other.priority < demand.priority && other.running > 10_000 && other.pending_fraction(1.0) < 1.0);
-            if demand.overdue && demand.waiting > 0 && demand.running == 0 && higher_class_runs {
+            let higher_class_runs = classes.iter().any(|other| other.priority < demand.priority && other.running_millicpus > 10_000 && other.pending_fraction(1.0) < 1.0);
+            if demand.overdue && demand.waiting_millicpus > 0 && demand.running_millicpus == 0 && higher_class_runs {
                 prop_assert!(*share > 0, "{classes:?}");
             }
         }
--- a/src/fairness/mod.rs
+++ b/src/fairness/mod.rs
@@ -37,7 +37,7 @@
 
 /// Task counts of one controller. Stored as one value.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct TaskCounts {
     /// Counts by job.
     #[serde(rename = "j")]
     pub jobs: BTreeMap<String, JobTaskCounts>,
--- a/src/fairness/rounds.rs
+++ b/src/fairness/rounds.rs
@@ -1,8 +1,8 @@
 //! The leader's fairness round, which writes the priority boosts and the service levels.
 
-pub use super::value_limit::fitting;
+pub use super::value_limit::truncate_to_size;
 
-use super::service_levels::table;
+use super::service_levels::service_level_rows;
 use super::{JobActivity, PriorityBoosts, merge_counts, update_boosts};
 use crate::controller::Controller;
 use crate::store::cluster_state::ClusterState;
@@ -27,7 +27,7 @@
             let jobs = job_activities(&view);
             let threshold = self.policy.fairness_threshold;
             let mut boosts: PriorityBoosts = update_boosts(&jobs, threshold, &view.priority_boosts);
-            boosts.jobs = fitting(boosts.jobs, self.value_limit(), &|_, boost| {
+            boosts.jobs = truncate_to_size(boosts.jobs, self.value_limit(), &|_, boost| {
                 (boost.level, boost.tasks)
             });
             if boosts == view.priority_boosts {
@@ -49,7 +49,7 @@
     /// Logs the classes and teams that newly miss their objectives.
     fn log_service_levels(&self) {
         let view = self.watch_cache.view();
-        let rows = table(&view, &self.settings.objectives, wall());
+        let rows = service_level_rows(&view, &self.settings.objectives, wall());
         tracing::debug!(?rows, "service levels computed");
         for (scope, started_share) in self
             .service_level_monitor
@@ -79,7 +79,7 @@
                 return;
             }
             let ends = view.recent_job_ends().cloned();
-            let next = levels.with(ends, view.revision, self.value_limit());
+            let next = levels.with_job_ends(ends, view.revision, self.value_limit());
             Transaction {
                 preconditions: vec![view.precondition(keys::SERVICE_LEVELS)],
                 mutations: vec![Mutation::Put {
--- a/src/fairness/service_levels.rs
+++ b/src/fairness/service_levels.rs
@@ -3,7 +3,7 @@
 //! state.
 
 use super::minimum_share::overdue_after;
-use super::value_limit::fitting;
+use super::value_limit::truncate_to_size;
 use crate::settings::Objective;
 use crate::store::cluster_state::{ClusterState, Job};
 use crate::time::{Micros, SECOND};
@@ -70,7 +70,7 @@
     /// `revision`, within `max_bytes`. The revision check prevents two leaders from counting an end twice.
     /// Jobs that end after the last write of the previous leader and before the new leader has loaded the
     /// state are not counted.
-    pub fn with(
+    pub fn with_job_ends(
         &self,
         ends: impl Iterator<Item = JobEnd>,
         revision: u64,
@@ -84,7 +84,7 @@
             totals.done += u64::from(end.done);
         }
         next.revision = revision;
-        next.ended = fitting(next.ended, max_bytes, &|_, totals| totals.accepted);
+        next.ended = truncate_to_size(next.ended, max_bytes, &|_, totals| totals.accepted);
         next
     }
 }
@@ -111,21 +111,21 @@
 }
 
 /// Returns whether a task of a job was ever started.
-pub fn started(job: &Job) -> bool {
+pub fn has_started(job: &Job) -> bool {
     job.placed > 0 || job.done > 0 || job.slots().any(|(_, task)| task.last_attempt() > 0)
 }
 
 /// Returns the service levels of all classes and teams. A job that waits for its dependencies is counted
 /// only after these have finished.
-pub fn table(
+pub fn service_level_rows(
     view: &ClusterState,
     objectives: &[Objective],
     wall_clock: Micros,
 ) -> Vec<ServiceLevelRow> {
     // Includes the job ends that the stored value does not count yet.
-    let levels = view
-        .service_levels
-        .with(view.recent_job_ends().cloned(), u64::MAX, usize::MAX);
+    let levels =
+        view.service_levels
+            .with_job_ends(view.recent_job_ends().cloned(), u64::MAX, usize::MAX);
     let mut rows: BTreeMap<(&str, &str), ServiceLevelRow> = BTreeMap::new();
     for (key, totals) in &levels.ended {
         if let Some(class_and_team) = parse_class_and_team(key) {
@@ -140,7 +140,7 @@
         let (class, team) = (&job.spec.class, &job.spec.team);
         let row = rows.entry((class, team)).or_default();
         row.accepted += 1;
-        if started(job) {
+        if has_started(job) {
             row.started += 1;
             continue;
         }
--- a/src/fairness/service_levels/tests.rs
+++ b/src/fairness/service_levels/tests.rs
@@ -16,8 +16,8 @@
 #[test]
 fn leader_change_counts_each_job_end_once() {
     let ends = [job_end(3, true), job_end(5, false), job_end(9, true)];
-    let first = ServiceLevels::default().with(ends[..2].iter().cloned(), 6, 1000);
-    let second = first.with(ends.iter().cloned(), 9, 1000);
+    let first = ServiceLevels::default().with_job_ends(ends[..2].iter().cloned(), 6, 1000);
+    let second = first.with_job_ends(ends.iter().cloned(), 9, 1000);
     let expected = ClassTotals {
         accepted: 3,
         started: 3,
@@ -25,7 +25,7 @@
     };
     assert_eq!(second.ended[&class_and_team_key("c", "t")], expected);
     // An end after the revision of the value is left to the next write.
-    assert!(first.with(ends.iter().cloned(), 8, 1000).ended == first.ended);
+    assert!(first.with_job_ends(ends.iter().cloned(), 8, 1000).ended == first.ended);
     assert_eq!(
         parse_class_and_team(&class_and_team_key("a:b/c", "x:y")),
         Some(("a:b/c", "x:y"))
--- a/src/fairness/task_counts.rs
+++ b/src/fairness/task_counts.rs
@@ -1,8 +1,8 @@
 //! Task counts and durations by job, from the heartbeats of a controller's machines. Each controller writes
 //! a separate value, which the leader reads in its fairness rounds.
 
-use super::value_limit::fitting;
-use super::{Counts, JobTaskCounts};
+use super::value_limit::truncate_to_size;
+use super::{JobTaskCounts, TaskCounts};
 use crate::controller::Controller;
 use crate::store::client::TransactionOutcome;
 use crate::store::keys;
@@ -43,7 +43,7 @@
 impl Controller {
     /// Writes this controller's counts once per fairness round if they changed.
     pub async fn task_counts_loop(self: Rc<Controller>) {
-        let mut written = Counts::default();
+        let mut written = TaskCounts::default();
         loop {
             self.sleep(self.policy.fairness_round).await;
             if !self.watch_cache.loaded() || !self.watch_cache.current() {
@@ -53,7 +53,8 @@
             {
                 let view = self.watch_cache.view();
                 let queued = |id: &str| view.jobs.get(id).map_or(0, |job| job.queued());
-                counts.jobs = fitting(counts.jobs, self.value_limit(), &|id, _| queued(id));
+                counts.jobs =
+                    truncate_to_size(counts.jobs, self.value_limit(), &|id, _| queued(id));
             }
             if counts == written {
                 continue;
@@ -74,13 +75,13 @@
 
     /// Returns the counts of all jobs with finished or active tasks on this controller's machines. Services
     /// take no part in fairness rounds and are left out.
-    fn task_counts(&self) -> Counts {
+    fn task_counts(&self) -> TaskCounts {
         let now = self.clock.now();
         let view = self.watch_cache.view();
         let machines = self.workers.machines();
         let longest_active = longest_active_tasks(machines.values(), &view, now);
         let finished = self.workers.durations();
-        let mut counts = Counts::default();
+        let mut counts = TaskCounts::default();
         for (id, job) in &view.jobs {
             if job.spec.kind == JobKind::Service {
                 continue;
--- a/src/fairness/value_limit.rs
+++ b/src/fairness/value_limit.rs
@@ -11,7 +11,7 @@
 /// Returns the entries that fit into `max_bytes` as JSON, in descending order of `priority`. A job whose
 /// counts are left out is treated as a job without finished tasks (T and P are 1), and a job whose boost
 /// is left out has the same level as other jobs without a boost.
-pub fn fitting<T: serde::Serialize, W: Ord>(
+pub fn truncate_to_size<T: serde::Serialize, W: Ord>(
     entries: BTreeMap<String, T>,
     max_bytes: usize,
     priority: &dyn Fn(&str, &T) -> W,
--- a/src/jobs/api/inspection.rs
+++ b/src/jobs/api/inspection.rs
@@ -4,7 +4,7 @@
 use super::super::model::JobId;
 use super::super::pipelines::job_answer;
 use crate::controller::Controller;
-use crate::fairness::service_levels::table;
+use crate::fairness::service_levels::service_level_rows;
 use crate::ids::MachineId;
 use crate::scheduling::pending_reason::{self, PendingReason, PendingStatus};
 use crate::store::cluster_state::{ClusterState, Job};
@@ -37,7 +37,7 @@
             "/inspect/layout" => Response::with(200, &(&view.versions, &view.layout)),
             "/inspect/pipelines" => inspect_pipelines(&view),
             "/inspect/served" => {
-                let rows = table(&view, &self.settings.objectives, wall());
+                let rows = service_level_rows(&view, &self.settings.objectives, wall());
                 Response::with(200, &rows)
             }
             JOBS_PATH => {
--- a/src/scheduling/gang_reservation.rs
+++ b/src/scheduling/gang_reservation.rs
@@ -50,7 +50,7 @@
         let running = running_by_kind(input.view, &spec.team);
         let all_cpus = running.gangs.cpus + running.arrays.cpus;
         // Gangs are limited to this share: they are large, and arrays would get nothing otherwise.
-        if running.gangs.cpus as f64 > all_cpus as f64 * minimum_share::SHARE {
+        if running.gangs.cpus as f64 > all_cpus as f64 * minimum_share::MINIMUM_SHARE {
             // Arrays take the released quota, so machines provisioned for a gang would be idle.
             if input.forecast {
                 quotas.block_further_gangs(&spec.team);
--- a/src/scheduling/queue.rs
+++ b/src/scheduling/queue.rs
@@ -252,5 +252,5 @@
         false => FIRST_START_DELAY + NON_OWNER_PREEMPTION_DELAY,
     };
     let array = job.spec.kind == JobKind::Array && !job.in_pipeline;
-    array && !input.forecast && age >= delay && !service_levels::started(job)
+    array && !input.forecast && age >= delay && !service_levels::has_started(job)
 }
--- a/src/scheduling/starvation.rs
+++ b/src/scheduling/starvation.rs
@@ -78,8 +78,8 @@
     for job in jobs.filter(|job| is_active_array(job)) {
         let demand = demands.entry(scopes.key(job)).or_insert(ClassDemand {
             priority: job.spec.priority,
-            waiting: 0,
-            running: 0,
+            waiting_millicpus: 0,
+            running_millicpus: 0,
             mean_run_time_us: 0.0,
             overdue: false,
         });
--- a/src/store/cluster_state/finished_jobs.rs
+++ b/src/store/cluster_state/finished_jobs.rs
@@ -106,7 +106,7 @@
         self.recent_job_ends.push(JobEnd {
             revision,
             class_and_team: service_levels::class_and_team_key(&job.spec.class, &job.spec.team),
-            started: done || service_levels::started(job),
+            started: done || service_levels::has_started(job),
             done,
         });
     }
--- a/src/store/cluster_state/mod.rs
+++ b/src/store/cluster_state/mod.rs
@@ -32,7 +32,7 @@
 use self::task_blocks::BlockPartKey;
 use crate::autoscaler::model::{MachineRecord, MachineState, ScaleOutRequest, TerminationBatch};
 use crate::fairness::service_levels::ServiceLevels;
-use crate::fairness::{Counts, PriorityBoosts};
+use crate::fairness::{PriorityBoosts, TaskCounts};
 use crate::ids::MachineId;
 use crate::jobs::model::{FinishedJob, JobId, MachineUsage, Placement, StoredBlock, TaskBlock};
 use crate::membership::{LayoutVersion, Leader, Member, Shard};
@@ -84,7 +84,7 @@
     /// State in the machine's own key, for machines whose state a termination batch overrides.
     overridden_states: HashMap<MachineId, MachineState>,
     /// Job counts of the controllers, by controller name.
-    pub counts: BTreeMap<String, Counts>,
+    pub counts: BTreeMap<String, TaskCounts>,
     /// Priority boosts of the last fairness round.
     pub priority_boosts: PriorityBoosts,
     /// Totals of ended jobs for each class and team.
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -14,7 +14,7 @@
 use common::{LIMITS, SETTINGS};
 use coppergw::autoscaler::model::{MachineRecord, MachineState, ScaleOutRequest, TerminationBatch};
 use coppergw::fairness::service_levels::{ServiceLevelRow, ServiceLevels};
-use coppergw::fairness::{Counts, PriorityBoosts};
+use coppergw::fairness::{PriorityBoosts, TaskCounts};
 use coppergw::jobs::commit::{TransactionLimits, accept_submission, cancel};
 use coppergw::jobs::model::{
     FinishedJob, JobIdList, JobRecord, StoredBlock, StoredJobRecord, TaskBlock, validate,
@@ -197,7 +197,7 @@
     golden.check_stored::<Vec<MachineState>>("host_states", Full);
     golden.check_stored::<ScaleOutRequest>("charter", FullAndSparse);
     golden.check_stored::<TerminationBatch>("leaving", FullAndSparse);
-    golden.check_stored::<Counts>("counts", FullAndSparse);
+    golden.check_stored::<TaskCounts>("counts", FullAndSparse);
     golden.check_stored::<PriorityBoosts>("raises", FullAndSparse);
     golden.check_stored::<ServiceLevels>("served", FullAndSparse);
     golden.check_stored::<String>("team", Full);
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -7,7 +7,7 @@
 
 use coppergw::autoscaler::model::{MachineRecord, MachineState, ScaleOutRequest};
 use coppergw::autoscaler::reconciler::shrink_scale_out_request;
-use coppergw::fairness::rounds::fitting;
+use coppergw::fairness::rounds::truncate_to_size;
 use coppergw::ids::MachineId;
 use coppergw::jobs::commit::{
     JobChange, TransactionLimits, accept_submission, cancel, collect_garbage, stage,
@@ -914,10 +914,10 @@
 fn oversized_maps_keep_the_highest_values() {
     let all: BTreeMap<String, (u32, u32)> =
         (0..500).map(|i| (format!("req-{i:06}"), (i, 2))).collect();
-    let kept = fitting(all.clone(), 2000, &|_, (n, _)| *n);
+    let kept = truncate_to_size(all.clone(), 2000, &|_, (n, _)| *n);
     assert!(json_size(&kept) <= 2000 && kept.len() > 60);
     assert!(kept.values().all(|(n, _)| *n >= 500 - kept.len() as u32));
-    assert_eq!(fitting(all.clone(), 32_000, &|_, (n, _)| *n), all);
+    assert_eq!(truncate_to_size(all.clone(), 32_000, &|_, (n, _)| *n), all);
 }
 
 /// No controller uses the newer layout until every controller has recorded durably that it supports it: one
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -566,6 +566,7 @@
         revision: view.revision + 8,
         ..ServiceLevels::default()
     };
-    let next = other_leader.with(view.recent_job_ends().cloned(), view.revision + 20, 1000);
+    let next =
+        other_leader.with_job_ends(view.recent_job_ends().cloned(), view.revision + 20, 1000);
     assert!(next.ended.is_empty());
 }
