--- a/crates/base/src/wire/peer.rs
+++ b/crates/base/src/wire/peer.rs
@@ -22,7 +22,7 @@
     /// Machines that were redirected to the receiver and have sent a heartbeat to the sender again since the last
     /// round.
     #[serde(rename = "bounced")]
-    pub redirected_back: Vec<String>,
+    pub returned_redirects: Vec<String>,
     /// Machines of the sender that are up while their stored records do not show it yet: name and session.
     #[serde(default)]
     #[serde(rename = "up")]
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -185,7 +185,7 @@
     async fn on_public_request(&self, request: Request) -> Response {
         if request.path == worker::HEARTBEAT_PATH {
             return match (request.method, &request.body) {
-                (Method::Post, Some(body)) => self.on_heartbeat(body),
+                (Method::Post, Some(body)) => self.handle_heartbeat(body),
                 (Method::Post, None) => Response::status(400),
                 _ => Response::status(405),
             };
--- a/src/fairness/task_counts.rs
+++ b/src/fairness/task_counts.rs
@@ -80,7 +80,7 @@
         let view = self.watch_cache.view();
         let machines = self.workers.machines();
         let longest_active = longest_active_tasks(machines.values(), &view, now);
-        let finished = self.workers.durations();
+        let finished = self.workers.task_durations();
         let mut counts = TaskCounts::default();
         for (id, job) in &view.jobs {
             if job.spec.kind == JobKind::Service {
--- a/src/membership/peer_heartbeats.rs
+++ b/src/membership/peer_heartbeats.rs
@@ -39,8 +39,10 @@
 
     /// Sends one heartbeat, which requests a cancellation digest, and processes the response.
     async fn exchange_heartbeat(&self, peer: Peer) {
-        let redirected_back = self.workers.redirected_back(&peer.name, self.clock.now());
-        let request = self.own_heartbeat(self.watch_cache.current(), redirected_back, None);
+        let returned_redirects = self
+            .workers
+            .returned_redirects(&peer.name, self.clock.now());
+        let request = self.own_heartbeat(self.watch_cache.current(), returned_redirects, None);
         let body = Some(pack(&request));
         let requested_at = self.clock.now();
         let response = self
@@ -110,7 +112,7 @@
             return Response::status(400);
         };
         let now = self.clock.now();
-        if self.misses_heartbeats_of_any(&heartbeat.redirected_back, now) {
+        if self.misses_heartbeats_of_any(&heartbeat.returned_redirects, now) {
             self.membership
                 .worker_reachability
                 .record_returned_redirect(now);
@@ -137,14 +139,14 @@
     fn own_heartbeat(
         &self,
         state_service_reachable: bool,
-        redirected_back: Vec<String>,
+        returned_redirects: Vec<String>,
         digest: Option<CancellationDigest>,
     ) -> PeerHeartbeat {
         PeerHeartbeat {
             node: self.me().to_string(),
             state_service_reachable,
             unreachable: self.membership.peers.unreachable(),
-            redirected_back,
+            returned_redirects,
             ready_machines: self.unrecorded_ready_machines(),
             revision: self.watch_cache.view().revision,
             digest,
--- a/src/membership/worker_reachability.rs
+++ b/src/membership/worker_reachability.rs
@@ -110,9 +110,13 @@
 
     /// Returns whether heartbeats are missing from any machine that a peer redirected to this controller
     /// and that came back to the peer.
-    pub(super) fn misses_heartbeats_of_any(&self, redirected_back: &[String], now: Micros) -> bool {
+    pub(super) fn misses_heartbeats_of_any(
+        &self,
+        returned_redirects: &[String],
+        now: Micros,
+    ) -> bool {
         let machines = self.workers.machines();
-        redirected_back.iter().any(|id| {
+        returned_redirects.iter().any(|id| {
             machines.get(id.as_str()).is_some_and(|machine| {
                 now.saturating_sub(machine.heartbeat.last_contact_at)
                     > self.settings.heartbeat_interval * 3 / 2
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -31,11 +31,11 @@
 const MIN_PAUSE_TO_PASS_RATIO: u64 = 4;
 /// Maximum wait for a change before a pass runs without one.
 const IDLE_PASS_INTERVAL: Micros = SECOND / 5;
-/// Interval at which machines that need commands, are not fenced or have an overdue heartbeat (unsettled
-/// machines) are compared with their task blocks.
-const UNSETTLED_CHECK_INTERVAL: Micros = SECOND;
+/// Interval at which machines that need commands, are not fenced or have an overdue heartbeat (machines to
+/// check) are compared with their task blocks.
+const MACHINE_CHECK_INTERVAL: Micros = SECOND;
 /// Minimum interval at which every machine is compared with its task blocks. Between two full sweeps
-/// only machines that changed or are unsettled are compared.
+/// only machines that changed or are to be checked are compared.
 const MIN_FULL_SWEEP_INTERVAL: Micros = 5 * SECOND;
 /// Minimum ratio of the full sweep interval to the duration of the last full sweep, so that sweeps of a
 /// large cluster do not use all processor time.
@@ -58,20 +58,20 @@
     jobs_in_flight: RefCell<HashSet<JobId>>,
     /// Ended attempts, by machine, that heartbeats prove and the stored task blocks do not record yet.
     ended_attempts: RefCell<BTreeMap<MachineId, Vec<JobChange>>>,
-    last_unsettled_check: Cell<Micros>,
+    last_machine_check: Cell<Micros>,
     last_full_sweep: Cell<Micros>,
     full_sweep_interval: Cell<Micros>,
     last_heartbeat_check: Cell<Micros>,
-    adoption: RefCell<Adoption>,
+    machine_sync: RefCell<MachineSync>,
 }
 
-/// Inputs and time of the last adoption of machines.
+/// Inputs and time of the last update of the registry of workers.
 #[derive(Default)]
-struct Adoption {
+struct MachineSync {
     machines_epoch: u64,
     /// This controller's term of each shard, by shard; `None` for shards that it did not own.
     terms: Vec<Option<u64>>,
-    adopted_at: Micros,
+    synced_at: Micros,
 }
 
 /// Machines that a pass examines, and the time and terms of the pass.
@@ -81,9 +81,9 @@
     terms: Vec<Option<u64>>,
     /// Whether every machine is examined.
     full_sweep: bool,
-    /// Whether unsettled machines are examined.
-    unsettled_check: bool,
-    /// Machines whose heartbeat or tasks changed and, in an unsettled check, unsettled machines.
+    /// Whether the machines to check are examined.
+    machine_check_due: bool,
+    /// Machines whose heartbeat or tasks changed and, if a check is due, the machines to check.
     changed_machines: HashSet<MachineId>,
 }
 
@@ -121,7 +121,7 @@
         let staged = {
             let view = self.watch_cache.view();
             self.update_budget_share(&view);
-            self.adopt_machines_if_due(&view, &scope);
+            self.sync_machines_if_due(&view, &scope);
             if self.watch_cache.current() {
                 self.collect_ended_attempts(&view, &scope);
                 self.stage_transactions(&view, &scope)
@@ -144,29 +144,29 @@
     }
 
     /// Selects the machines that a pass examines. Between two full sweeps these are only machines that
-    /// sent a heartbeat or whose tasks changed and, every `UNSETTLED_CHECK_INTERVAL`, unsettled machines.
+    /// sent a heartbeat or whose tasks changed and, every `MACHINE_CHECK_INTERVAL`, the machines to check.
     fn pass_scope(&self) -> PassScope {
         let now = self.clock.now();
         let reconciler = &self.reconciler;
         let terms = self.terms(&self.watch_cache.view());
         let full_sweep = now.saturating_sub(reconciler.last_full_sweep.get())
             >= reconciler.full_sweep_interval.get();
-        let mut changed_machines = self.workers.take_changed();
+        let mut changed_machines = self.workers.take_changed_workers();
         changed_machines.extend(self.watch_cache.take_changed_machines());
-        let unsettled_check =
-            now.saturating_sub(reconciler.last_unsettled_check.get()) >= UNSETTLED_CHECK_INTERVAL;
-        if unsettled_check {
-            reconciler.last_unsettled_check.set(now);
+        let machine_check_due =
+            now.saturating_sub(reconciler.last_machine_check.get()) >= MACHINE_CHECK_INTERVAL;
+        if machine_check_due {
+            reconciler.last_machine_check.set(now);
             // A heartbeat is overdue a quarter of its interval after it was expected.
             let overdue_after = self.settings.heartbeat_interval * 5 / 4;
-            changed_machines.extend(self.workers.unsettled(overdue_after, now));
+            changed_machines.extend(self.workers.machines_to_check(overdue_after, now));
             changed_machines.extend(reconciler.ended_attempts.borrow().keys().cloned());
         }
         PassScope {
             now,
             terms,
             full_sweep,
-            unsettled_check,
+            machine_check_due,
             changed_machines,
         }
     }
@@ -182,23 +182,23 @@
         );
     }
 
-    /// Adopts the machines of this controller's shards: at every unsettled check, immediately after a
+    /// Updates the registry of the machines in this controller's shards: at every check, immediately after a
     /// term changes, and after machines are added or removed at most every `HEARTBEAT_CHECK_INTERVAL`,
     /// since on a large cluster this happens all the time.
-    fn adopt_machines_if_due(&self, view: &ClusterState, scope: &PassScope) {
+    fn sync_machines_if_due(&self, view: &ClusterState, scope: &PassScope) {
         let changed = {
-            let last = self.reconciler.adoption.borrow();
-            let due = scope.now.saturating_sub(last.adopted_at) >= HEARTBEAT_CHECK_INTERVAL;
+            let last = self.reconciler.machine_sync.borrow();
+            let due = scope.now.saturating_sub(last.synced_at) >= HEARTBEAT_CHECK_INTERVAL;
             last.terms != scope.terms || (due && last.machines_epoch != view.machines_epoch)
         };
-        if !scope.unsettled_check && !changed {
+        if !scope.machine_check_due && !changed {
             return;
         }
-        self.adopt_machines(view, &scope.terms, scope.now);
-        *self.reconciler.adoption.borrow_mut() = Adoption {
+        self.sync_machines(view, &scope.terms, scope.now);
+        *self.reconciler.machine_sync.borrow_mut() = MachineSync {
             machines_epoch: view.machines_epoch,
             terms: scope.terms.clone(),
-            adopted_at: scope.now,
+            synced_at: scope.now,
         };
     }
 
@@ -265,7 +265,7 @@
         if scope.full_sweep || now.saturating_sub(last.get()) >= HEARTBEAT_CHECK_INTERVAL {
             last.set(now);
             self.write_machine_records(now);
-            self.add_overdue_machines(now, &mut scope.changed_machines);
+            self.add_machines_due_for_call(now, &mut scope.changed_machines);
         }
     }
 
--- a/src/reconciliation/planning.rs
+++ b/src/reconciliation/planning.rs
@@ -49,7 +49,7 @@
             machines: &machines,
             now,
             uses_peer_machines: uses_peer_machines(view, terms, place_gangs),
-            many_inbound_partitions: OnceCell::new(),
+            widespread_inbound_partitions: OnceCell::new(),
         };
         let owns = |name: &str| owns(terms, name);
         let schedulable = |id: &MachineId, record: &MachineRecord| scope.schedulable(id, record);
@@ -108,7 +108,7 @@
     uses_peer_machines: bool,
     /// Whether many machines are in an inbound partition. Computed on first use, which is rare: without
     /// machines in an inbound partition no plan has to iterate over all machines.
-    many_inbound_partitions: OnceCell<bool>,
+    widespread_inbound_partitions: OnceCell<bool>,
 }
 
 impl PlanScope<'_> {
@@ -149,8 +149,8 @@
     fn in_many_inbound_partitions(&self, worker: &WorkerState) -> bool {
         worker.inbound_partition()
             && *self
-                .many_inbound_partitions
-                .get_or_init(|| workers::many_inbound_partitions(self.machines))
+                .widespread_inbound_partitions
+                .get_or_init(|| workers::widespread_inbound_partitions(self.machines))
     }
 
     /// Returns whether the placement of a job is deferred: it is in backoff after failures, or it belongs
--- a/src/workers/backoff.rs
+++ b/src/workers/backoff.rs
@@ -86,7 +86,7 @@
         now: Micros,
     ) {
         if !outcome.finished.is_empty() {
-            let mut durations = self.workers.durations.borrow_mut();
+            let mut durations = self.workers.task_durations.borrow_mut();
             let mut job_backoffs = self.workers.job_backoffs.borrow_mut();
             for finished in outcome.finished {
                 job_backoffs.remove(&finished.job);
@@ -119,7 +119,7 @@
             let view = self.watch_cache.view();
             view.jobs.get(job).is_some_and(|j| j.done > 0)
         };
-        self.workers.durations.borrow().contains_key(job)
+        self.workers.task_durations.borrow().contains_key(job)
             || has_finished_task()
             || self.workers.machines.borrow().iter().any(|(id, worker)| {
                 id != machine
--- a/src/workers/command_dispatch.rs
+++ b/src/workers/command_dispatch.rs
@@ -83,7 +83,7 @@
             probe_interval: self.workers.probe_interval(now),
         };
         if only.is_none() {
-            self.workers.unsettled.borrow_mut().clear();
+            self.workers.machines_to_check.borrow_mut().clear();
         }
         let ids: Vec<MachineId> = match only {
             Some(selected) => selected.iter().cloned().collect(),
@@ -158,11 +158,11 @@
         let probe = overdue
             || (time_since_contact > context.probe_interval && runs_replicas(context.view, id));
         let mut due = commands(context.view, id, worker, CommandChannel::Direct);
-        let mut unsettled = self.workers.unsettled.borrow_mut();
+        let mut machines_to_check = self.workers.machines_to_check.borrow_mut();
         if due.is_empty() {
-            unsettled.remove(id);
+            machines_to_check.remove(id);
         } else {
-            unsettled.insert(id.clone());
+            machines_to_check.insert(id.clone());
         }
         let failed_at = worker.probes.last_failed_at;
         let failed_recently =
@@ -250,7 +250,7 @@
             Err(WireError::Sockets) => {
                 // Nothing was sent because no socket was available, so the failure is not the
                 // machine's.
-                worker.acknowledge_direct(&call.commands);
+                worker.acknowledge_direct_commands(&call.commands);
                 worker.remove_sent_commands(&call.commands);
                 worker.outstanding.not_before = now + RETRY_DELAY_AFTER_FAILURE;
                 true
@@ -286,7 +286,7 @@
             worker.outstanding.not_before = now + RETRY_DELAY_AFTER_INVALID_REPLY;
             return None;
         };
-        worker.acknowledge_direct(&call.commands);
+        worker.acknowledge_direct_commands(&call.commands);
         let outcome = worker.apply_heartbeat(&message, HeartbeatSource::CommandReply, now);
         worker.record_answered_probe(self.settings.heartbeat_interval, now);
         Some(outcome)
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -199,7 +199,7 @@
     }
 
     /// Records that direct commands were acknowledged: all were executed or refused, or none was sent.
-    pub fn acknowledge_direct(&mut self, commands: &[Command]) {
+    pub fn acknowledge_direct_commands(&mut self, commands: &[Command]) {
         for start in started_attempts(commands) {
             self.outstanding.unacknowledged_starts.remove(&start);
         }
--- a/src/workers/heartbeat_handler.rs
+++ b/src/workers/heartbeat_handler.rs
@@ -5,7 +5,7 @@
 
 use super::commands::{CommandChannel, commands};
 use super::heartbeat::{HeartbeatOutcome, HeartbeatSource};
-use super::liveness::may_answer;
+use super::liveness::may_answer_heartbeats;
 use super::worker_state::WorkerState;
 use crate::controller::{Controller, StartupMilestone};
 use crate::ids::MachineId;
@@ -41,7 +41,7 @@
 
 impl Controller {
     /// Answers a heartbeat.
-    pub fn on_heartbeat(self: &Controller, body: &[u8]) -> Response {
+    pub fn handle_heartbeat(self: &Controller, body: &[u8]) -> Response {
         let heartbeat: Heartbeat = match decode(body) {
             Ok(heartbeat) => heartbeat,
             Err(error) => {
@@ -60,7 +60,7 @@
             return self.redirect(&view, shard, &heartbeat, now);
         };
         let (lease, cancel_within) = (self.settings.worker_lease, self.settings.cancel_within);
-        if !may_answer(lease, cancel_within, self.cancellation_watermark(), now) {
+        if !may_answer_heartbeats(lease, cancel_within, self.cancellation_watermark(), now) {
             return Response::status(503);
         }
         if heartbeat.fencing_token > term {
--- a/src/workers/inbound_partition.rs
+++ b/src/workers/inbound_partition.rs
@@ -17,7 +17,7 @@
 const REPLACEMENT_LEASE_COUNT: u64 = 3;
 /// Divisor of the number of fenced machines: more partitioned machines than the quotient cannot be
 /// explained by faults of single machines.
-const MANY_PARTITIONED_DIVISOR: usize = 3;
+const WIDESPREAD_PARTITION_DIVISOR: usize = 3;
 
 /// Measure taken by the owner of a machine that answers calls but sends no heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,12 +53,12 @@
 /// single machines, and replacing or draining all of them would leave the fleet without capacity.
 pub fn inbound_partition(
     worker: &WorkerState,
-    many_partitioned: bool,
+    widespread_partition: bool,
     lease: Micros,
     now: Micros,
 ) -> InboundPartition {
     let without_heartbeat_for = now.saturating_sub(worker.heartbeat.last_heartbeat_at);
-    if !worker.inbound_partition() || many_partitioned || without_heartbeat_for <= lease {
+    if !worker.inbound_partition() || widespread_partition || without_heartbeat_for <= lease {
         InboundPartition::None
     } else if without_heartbeat_for > lease * REPLACEMENT_LEASE_COUNT {
         InboundPartition::Replace
@@ -67,15 +67,15 @@
     }
 }
 
-/// Returns whether more than one in `MANY_PARTITIONED_DIVISOR` of the fenced machines, and at least
+/// Returns whether more than one in `WIDESPREAD_PARTITION_DIVISOR` of the fenced machines, and at least
 /// two, are in an inbound partition.
-pub fn many_inbound_partitions(machines: &BTreeMap<MachineId, WorkerState>) -> bool {
+pub fn widespread_inbound_partitions(machines: &BTreeMap<MachineId, WorkerState>) -> bool {
     let partitioned = machines.values().filter(|w| w.inbound_partition()).count();
     if partitioned < 2 {
         return false;
     }
     let fenced = machines.values().filter(|w| w.fenced()).count();
-    partitioned * MANY_PARTITIONED_DIVISOR > fenced
+    partitioned * WIDESPREAD_PARTITION_DIVISOR > fenced
 }
 
 /// Returns the state for the record of a fenced machine, derived from its worker's messages.
@@ -105,11 +105,11 @@
 pub fn schedulable_session(
     worker: &WorkerState,
     recorded_session: u64,
-    many_partitioned: bool,
+    widespread_partition: bool,
     (heartbeat_interval, now): (Micros, Micros),
 ) -> Option<u64> {
     let in_contact = worker.time_since_contact(now) < heartbeat_interval * 2;
-    let reaches_controller = many_partitioned || !worker.inbound_partition();
+    let reaches_controller = widespread_partition || !worker.inbound_partition();
     let schedulable =
         worker.fenced() && in_contact && reaches_controller && worker.session >= recorded_session;
     schedulable.then_some(worker.session)
--- a/src/workers/liveness.rs
+++ b/src/workers/liveness.rs
@@ -87,7 +87,7 @@
 /// after its confirmation, and they live for `lease` after the last answer. There is no exception for
 /// an outage of the state service: even if it is unreachable for all controllers now, another
 /// controller may have confirmed a cancellation shortly before.
-pub fn may_answer(
+pub fn may_answer_heartbeats(
     lease: Micros,
     cancel_within: Micros,
     cancellation_watermark: Micros,
--- a/src/workers/machine_records.rs
+++ b/src/workers/machine_records.rs
@@ -5,7 +5,7 @@
 
 use super::backoff::quarantined;
 use super::inbound_partition::{
-    InboundPartition, inbound_partition, many_inbound_partitions, reported_state,
+    InboundPartition, inbound_partition, reported_state, widespread_inbound_partitions,
 };
 use super::liveness::{LivenessCheck, isolated};
 use super::worker_state::WorkerState;
@@ -34,7 +34,7 @@
     /// Whether this controller is unreachable for the workers.
     isolated: bool,
     /// Whether there are more inbound partitions than faults of single machines can explain.
-    many_partitioned: bool,
+    widespread_partition: bool,
     /// Maximum number of machines that one write declares dead. `None` while a controller of an older
     /// version could not read such a write; each machine is written separately then.
     max_declared_dead: Option<usize>,
@@ -172,7 +172,7 @@
             view: &view,
             now,
             isolated,
-            many_partitioned: many_inbound_partitions(&machines),
+            widespread_partition: widespread_inbound_partitions(&machines),
             max_declared_dead: self
                 .limits()
                 .write_newer_layout
@@ -279,7 +279,7 @@
             desired.address = Some(description.address.clone());
         }
         let lease = self.settings.worker_lease;
-        let partition = inbound_partition(worker, round.many_partitioned, lease, now);
+        let partition = inbound_partition(worker, round.widespread_partition, lease, now);
         if partition == InboundPartition::Replace {
             let without_heartbeat_for_ms =
                 now.saturating_sub(worker.heartbeat.last_heartbeat_at) / 1000;
--- a/src/workers/mod.rs
+++ b/src/workers/mod.rs
@@ -28,10 +28,10 @@
 pub use heartbeat::{HeartbeatOutcome, HeartbeatSource};
 pub use heartbeat_handler::redirect_target;
 pub use inbound_partition::{
-    InboundPartition, inbound_partition, many_inbound_partitions, reported_state,
-    schedulable_session,
+    InboundPartition, inbound_partition, reported_state, schedulable_session,
+    widespread_inbound_partitions,
 };
-pub use liveness::{LivenessCheck, isolated, latest_contact, may_answer};
+pub use liveness::{LivenessCheck, isolated, latest_contact, may_answer_heartbeats};
 pub use reconcile::reconcile;
 pub use registry::WorkerRegistry;
 pub use task_durations::{FinishedTask, TaskDurations, longest_active_tasks};
--- a/src/workers/probing.rs
+++ b/src/workers/probing.rs
@@ -47,7 +47,7 @@
 impl Controller {
     /// Adds to `changed` the machines that have to be called although nothing changed: those without
     /// contact for too long, those not fenced yet, and those deferred after a failed call.
-    pub fn add_overdue_machines(&self, now: Micros, changed: &mut HashSet<MachineId>) {
+    pub fn add_machines_due_for_call(&self, now: Micros, changed: &mut HashSet<MachineId>) {
         let view = self.watch_cache.view();
         let mut machines = self.workers.machines.borrow_mut();
         let probe_interval = self.workers.probe_interval(now);
--- a/src/workers/registry.rs
+++ b/src/workers/registry.rs
@@ -25,9 +25,9 @@
 /// Time for which redirects are kept.
 const REDIRECT_RETENTION: Micros = 15 * SECOND;
 /// Maximum age of the last of several redirects at which a worker counts as having come back.
-const REDIRECTED_BACK_WINDOW: Micros = 3 * SECOND;
+const RETURNED_REDIRECT_WINDOW: Micros = 3 * SECOND;
 /// Maximum number of redirected workers in one message to a peer.
-const MAX_REDIRECTED_BACK: usize = 50;
+const MAX_RETURNED_REDIRECTS: usize = 50;
 
 /// Redirects of a worker to another controller.
 pub(super) struct Redirects {
@@ -50,7 +50,7 @@
     /// Backoff of jobs whose tasks fail.
     pub(super) job_backoffs: RefCell<HashMap<JobId, BackoffState>>,
     /// Durations of finished tasks, by job: image fetch and run.
-    pub(super) durations: RefCell<HashMap<JobId, Vec<[Micros; 2]>>>,
+    pub(super) task_durations: RefCell<HashMap<JobId, Vec<[Micros; 2]>>>,
     /// Redirects of workers, by machine.
     redirected: RefCell<HashMap<String, Redirects>>,
     /// Regular time without contact after which machines with service replicas are probed.
@@ -58,7 +58,7 @@
     /// Time at which fast probing last started.
     pub(super) last_probe_failure: Cell<Micros>,
     /// Machines that need commands, which are checked every second until they need none.
-    pub(super) unsettled: RefCell<HashSet<MachineId>>,
+    pub(super) machines_to_check: RefCell<HashSet<MachineId>>,
     /// Number of writes that declared machines dead, from which the unique name of each such write is
     /// formed.
     pub(super) dead_declaration_count: Cell<u64>,
@@ -71,20 +71,20 @@
     }
 
     /// Returns the durations of finished tasks, by job: image fetch and run.
-    pub fn durations(&self) -> Ref<'_, HashMap<JobId, Vec<[Micros; 2]>>> {
-        self.durations.borrow()
+    pub fn task_durations(&self) -> Ref<'_, HashMap<JobId, Vec<[Micros; 2]>>> {
+        self.task_durations.borrow()
     }
 
     /// Returns the machines that changed since the last call, and clears the set.
-    pub fn take_changed(&self) -> HashSet<MachineId> {
+    pub fn take_changed_workers(&self) -> HashSet<MachineId> {
         self.changed.take()
     }
 
     /// Returns the machines that need commands, are not fenced, or have had no contact for longer than
     /// `timeout`. All others were checked when their last message, or the last change of their records,
     /// arrived.
-    pub fn unsettled(&self, timeout: Micros, now: Micros) -> HashSet<MachineId> {
-        let mut out = self.unsettled.borrow().clone();
+    pub fn machines_to_check(&self, timeout: Micros, now: Micros) -> HashSet<MachineId> {
+        let mut out = self.machines_to_check.borrow().clone();
         let machines = self.machines.borrow();
         let needs_check = machines
             .iter()
@@ -103,18 +103,18 @@
 
     /// Returns the machines whose workers returned to this controller after redirects to the controller
     /// `from`.
-    pub fn redirected_back(&self, from: &str, now: Micros) -> Vec<String> {
+    pub fn returned_redirects(&self, from: &str, now: Micros) -> Vec<String> {
         let redirected = self.redirected.borrow();
         let came_back = |redirects: &Redirects| {
             redirects.target == from
                 && redirects.count >= 2
-                && now.saturating_sub(redirects.last_at) < REDIRECTED_BACK_WINDOW
+                && now.saturating_sub(redirects.last_at) < RETURNED_REDIRECT_WINDOW
         };
         redirected
             .iter()
             .filter(|(_, redirects)| came_back(redirects))
             .map(|(machine, _)| machine.clone())
-            .take(MAX_REDIRECTED_BACK)
+            .take(MAX_RETURNED_REDIRECTS)
             .collect()
     }
 
@@ -140,7 +140,7 @@
 impl Controller {
     /// Updates the registry so that it has an entry for every machine of the owned shards under the
     /// current term (`terms`, by shard), and no others.
-    pub fn adopt_machines(&self, view: &ClusterState, terms: &[Option<u64>], now: Micros) {
+    pub fn sync_machines(&self, view: &ClusterState, terms: &[Option<u64>], now: Micros) {
         let mut machines = self.workers.machines.borrow_mut();
         self.remove_unowned_machines(&mut machines, view, terms, now);
         self.add_missing_machines(&mut machines, view, terms, now);
@@ -148,7 +148,7 @@
         self.raise_terms_of_blocked_machines(&machines, now);
         let mut job_backoffs = self.workers.job_backoffs.borrow_mut();
         job_backoffs.retain(|job, _| view.jobs.contains_key(job));
-        let mut durations = self.workers.durations.borrow_mut();
+        let mut durations = self.workers.task_durations.borrow_mut();
         durations.retain(|job, _| view.jobs.contains_key(job));
     }
 
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -117,7 +117,7 @@
         worker.blocked_by_unacknowledged_start(),
         "only a higher term makes the start impossible"
     );
-    worker.acknowledge_direct(&direct);
+    worker.acknowledge_direct_commands(&direct);
     assert!(matches!(
         commands(&over, &id, &mut worker, CommandChannel::HeartbeatAnswer).as_slice(),
         [Command::Forget { .. }]
--- a/tests/concurrent_failures/world.rs
+++ b/tests/concurrent_failures/world.rs
@@ -16,7 +16,7 @@
 use coppergw::wire::peer::PeerHeartbeat;
 use coppergw::wire::state::Mutation;
 use coppergw::wire::user::{JobKind, Status};
-use coppergw::workers::may_answer;
+use coppergw::workers::may_answer_heartbeats;
 
 pub(crate) const NODE_NAMES: [&str; 3] = ["a", "b", "c"];
 /// Duration of the lease of a task.
@@ -321,7 +321,7 @@
             controller
                 .watermarks
                 .cancellation_watermark(controller.last_read_at, peers, self.now);
-        if !may_answer(LEASE_DURATION, CANCEL_TIMEOUT, watermark, self.now) {
+        if !may_answer_heartbeats(LEASE_DURATION, CANCEL_TIMEOUT, watermark, self.now) {
             return;
         }
         if controller.view.jobs[job_id(task).as_str()].cancelled() {
--- a/tests/invariants/controllers.rs
+++ b/tests/invariants/controllers.rs
@@ -15,7 +15,7 @@
 use coppergw::wire::to_value;
 use coppergw::wire::worker::{Command, Heartbeat};
 use coppergw::workers::{
-    CommandChannel, HeartbeatSource, WorkerState, commands, may_answer, reconcile,
+    CommandChannel, HeartbeatSource, WorkerState, commands, may_answer_heartbeats, reconcile,
 };
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 
@@ -325,7 +325,7 @@
         let id: MachineId = heartbeat.machine.as_str().into();
         let term = self.term(controller_index, shard_of(&id))?;
         if heartbeat.fencing_token > term
-            || !may_answer(
+            || !may_answer_heartbeats(
                 LEASE_DURATION,
                 CANCEL_TIMEOUT,
                 self.controllers[controller_index].synced_at,
--- a/tests/invariants/workers.rs
+++ b/tests/invariants/workers.rs
@@ -247,7 +247,7 @@
         let reply = self.heartbeat(worker_index);
         let now = self.now;
         if let Some(worker) = self.controllers[controller_index].machines.get_mut(&id) {
-            worker.acknowledge_direct(&batch);
+            worker.acknowledge_direct_commands(&batch);
             worker.apply_heartbeat(&reply, HeartbeatSource::CommandReply, now);
         }
     }
--- a/tests/partitioned_machines.rs
+++ b/tests/partitioned_machines.rs
@@ -8,8 +8,8 @@
 use coppergw::time::{Micros, SECOND};
 use coppergw::wire::worker::Heartbeat;
 use coppergw::workers::{
-    HeartbeatSource, InboundPartition, WorkerState, inbound_partition, many_inbound_partitions,
-    reported_state, schedulable_session,
+    HeartbeatSource, InboundPartition, WorkerState, inbound_partition, reported_state,
+    schedulable_session, widespread_inbound_partitions,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -229,13 +229,13 @@
             }
             machines.insert(format!("m-{index}").into(), worker_state);
         }
-        let many_partitioned = many_inbound_partitions(&machines);
-        prop_assert_eq!(many_partitioned, partitioned >= 2 && partitioned * 3 > machine_count);
+        let widespread_partition = widespread_inbound_partitions(&machines);
+        prop_assert_eq!(widespread_partition, partitioned >= 2 && partitioned * 3 > machine_count);
         let now = 174 * SECOND;
         for worker_state in machines.values() {
-            let action = inbound_partition(worker_state, many_partitioned, LEASE_DURATION, now);
-            prop_assert_eq!(action, if worker_state.inbound_partition() && !many_partitioned { InboundPartition::Replace } else { InboundPartition::None });
-            prop_assert_eq!(schedulable_session(worker_state, 1, many_partitioned, (HEARTBEAT_INTERVAL, now)).is_some(), many_partitioned || !worker_state.inbound_partition());
+            let action = inbound_partition(worker_state, widespread_partition, LEASE_DURATION, now);
+            prop_assert_eq!(action, if worker_state.inbound_partition() && !widespread_partition { InboundPartition::Replace } else { InboundPartition::None });
+            prop_assert_eq!(schedulable_session(worker_state, 1, widespread_partition, (HEARTBEAT_INTERVAL, now)).is_some(), widespread_partition || !worker_state.inbound_partition());
         }
     }
 }
