--- a/benches/growth.rs
+++ b/benches/growth.rs
@@ -96,7 +96,7 @@
             address: Some("10.0.0.1:9000".into()),
             session: 1,
             state: MachineState::Up,
-            rented_at: 0,
+            provisioned_at: 0,
         };
         values.push((keys::machine(&machine_name(index)), to_value(&machine)));
     }
@@ -202,10 +202,10 @@
             objectives: &[],
             teams: &[],
             wall_clock: 100 * SECOND,
-            refused: &|_, _, _| false,
+            recently_refused: &|_, _, _| false,
             idle_since: &idle_since,
-            machines_per_request: 50,
-            known_up: &|_| false,
+            max_machines_per_request: 50,
+            is_known_ready: &|_| false,
         });
         decision.scale_out.len() + decision.scale_in.len() + decision.cordon.len()
     });
--- a/src/autoscaler/decision.rs
+++ b/src/autoscaler/decision.rs
@@ -30,19 +30,19 @@
     pub wall_clock: Micros,
     /// Returns whether the cloud recently refused to provision a machine type (first argument) in a zone
     /// (second argument), as spot machines if the third argument is true.
-    pub refused: &'a dyn Fn(&str, &str, bool) -> bool,
+    pub recently_refused: &'a dyn Fn(&str, &str, bool) -> bool,
     /// Wall-clock time since which each idle machine has been idle.
     pub idle_since: &'a HashMap<MachineId, Micros>,
     /// Maximum number of machines that one stored scale-out request can name.
-    pub machines_per_request: usize,
+    pub max_machines_per_request: usize,
     /// Returns whether a machine is known to be ready although its record is still in state `Booting`.
-    pub known_up: &'a dyn Fn(&MachineId) -> bool,
+    pub is_known_ready: &'a dyn Fn(&MachineId) -> bool,
 }
 
 impl<'a> CapacityForecast<'a> {
     /// Returns the time since a machine was provisioned.
     pub(super) fn age(&self, record: &MachineRecord) -> Micros {
-        self.wall_clock.saturating_sub(record.rented_at)
+        self.wall_clock.saturating_sub(record.provisioned_at)
     }
 
     /// Returns the CPUs that services use on a machine, in thousandths of a CPU.
--- a/src/autoscaler/mod.rs
+++ b/src/autoscaler/mod.rs
@@ -17,7 +17,7 @@
 
 pub use decision::{CapacityForecast, ScalingDecision};
 pub use provisioning_timeout::{
-    MAX_READY_WRITE_DELAY, MAX_READY_WRITE_DELAY_PEERS_AWARE, not_expected,
+    MAX_READY_WRITE_DELAY, MAX_READY_WRITE_DELAY_WITH_PEER_HEARTBEATS, late_booting_machines,
 };
 pub use transactions::{declare_dead, put_machine};
 
--- a/src/autoscaler/model.rs
+++ b/src/autoscaler/model.rs
@@ -56,7 +56,7 @@
     pub state: MachineState,
     /// Wall-clock time at which the machine was provisioned or first seen.
     #[serde(rename = "r")]
-    pub rented_at: Micros,
+    pub provisioned_at: Micros,
 }
 
 /// Request for machines of one type and zone, all spot or all on-demand. It is stored before it is sent, so
@@ -87,7 +87,7 @@
 
 impl ScaleOutRequest {
     /// Returns the initial record of a machine of this request that has no stored record yet.
-    pub fn machine(&self) -> MachineRecord {
+    pub fn initial_machine_record(&self) -> MachineRecord {
         MachineRecord {
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
@@ -95,12 +95,12 @@
             address: None,
             session: 0,
             state: MachineState::Booting,
-            rented_at: self.requested_at,
+            provisioned_at: self.requested_at,
         }
     }
 
     /// Returns whether the cloud has not answered the request yet.
-    pub fn open(&self) -> bool {
+    pub fn is_unanswered(&self) -> bool {
         self.machines.is_empty()
     }
 }
--- a/src/autoscaler/provisioning_timeout.rs
+++ b/src/autoscaler/provisioning_timeout.rs
@@ -25,7 +25,7 @@
 /// Longest delay of the same write while the other controllers receive the ready machines in peer heartbeats.
 /// While a large cluster starts, one write per machine would use a large part of the write budget
 /// and delay the placement of services.
-pub const MAX_READY_WRITE_DELAY_PEERS_AWARE: Micros = 90 * SECOND;
+pub const MAX_READY_WRITE_DELAY_WITH_PEER_HEARTBEATS: Micros = 90 * SECOND;
 
 /// Returns the machines that have been booting for longer than `tenths` tenths of their type's boot time
 /// although other machines of the type, provisioned at the same time or later, are up. Machines for which
@@ -42,7 +42,7 @@
     for record in view.machines.values() {
         if record.state == MachineState::Up {
             let newest = newest_up.entry(&record.machine_type).or_default();
-            *newest = record.rented_at.max(*newest);
+            *newest = record.provisioned_at.max(*newest);
         }
     }
     let is_late = |record: &MachineRecord| {
@@ -51,10 +51,10 @@
         };
         let limit = from_secs(machine_type.boot_time_s) * tenths / 10 + MAX_READY_WRITE_DELAY;
         record.state == MachineState::Booting
-            && wall_clock.saturating_sub(record.rented_at) > limit
+            && wall_clock.saturating_sub(record.provisioned_at) > limit
             && newest_up
                 .get(record.machine_type.as_str())
-                .is_some_and(|newest| *newest >= record.rented_at)
+                .is_some_and(|newest| *newest >= record.provisioned_at)
     };
     view.machines
         .iter()
@@ -65,7 +65,7 @@
 
 /// Returns the late machines, which the forecast excludes. Machines for which `is_ready` returns true have
 /// an outdated record and are not late.
-pub fn not_expected(
+pub fn late_booting_machines(
     view: &ClusterState,
     wall_clock: Micros,
     is_ready: &dyn Fn(&MachineId) -> bool,
@@ -83,7 +83,7 @@
             forecast.view,
             forecast.wall_clock,
             EARLY_TIMEOUT_BOOT_TIME_TENTHS,
-            forecast.known_up,
+            forecast.is_known_ready,
         ))
     }
 
--- a/src/autoscaler/reconciler.rs
+++ b/src/autoscaler/reconciler.rs
@@ -10,11 +10,11 @@
 mod scale_out_requests;
 mod terminations;
 
-pub use garbage_collection::{forget_gone, shrink_scale_out_request};
-pub use provisioning_errors::ProvisioningErrors;
+pub use garbage_collection::{close_scale_out_request, delete_terminated_records};
+pub use provisioning_errors::CloudRequestState;
 
 use super::model::MachineState;
-use super::{CapacityForecast, ScalingDecision, decide, not_expected};
+use super::{CapacityForecast, ScalingDecision, decide, late_booting_machines};
 use crate::controller::Controller;
 use crate::ids::MachineId;
 use crate::scheduling::{self, SchedulableMachine, Schedule, SchedulingInput};
@@ -176,15 +176,15 @@
             objectives: &self.settings.objectives,
             teams: &self.settings.teams,
             wall_clock,
-            refused: &|machine_type, zone, spot| {
-                self.provisioning_errors
+            recently_refused: &|machine_type, zone, spot| {
+                self.cloud_request_state
                     .recently_refused(machine_type, zone, spot, now)
             },
             idle_since: &state.idle_since,
-            machines_per_request: self.machines_per_request(),
+            max_machines_per_request: self.max_machines_per_request(),
             // A new leader has not yet received the owners' peer heartbeats, so no machine times out until
             // then.
-            known_up: &|id| heartbeats_incomplete || self.is_known_ready(id),
+            is_known_ready: &|id| heartbeats_incomplete || self.is_known_ready(id),
         })
     }
 
@@ -211,7 +211,7 @@
     /// now.
     pub fn forecast(&self, view: &ClusterState, include_booting: bool) -> Schedule {
         let wall_clock = wall();
-        let late_machines = not_expected(view, wall_clock, &|id| self.is_known_ready(id));
+        let late_machines = late_booting_machines(view, wall_clock, &|id| self.is_known_ready(id));
         scheduling::schedule(&SchedulingInput {
             view,
             wall_clock,
@@ -255,7 +255,7 @@
     /// sequence number.
     fn next_cloud_request_name(&self) -> String {
         let lease = self.membership.lease().unwrap_or(0);
-        self.provisioning_errors.next_request_name(self.me(), lease)
+        self.cloud_request_state.next_request_name(self.me(), lease)
     }
 }
 
--- a/src/autoscaler/reconciler/garbage_collection.rs
+++ b/src/autoscaler/reconciler/garbage_collection.rs
@@ -17,7 +17,7 @@
 impl Controller {
     /// Deletes or shrinks one answered scale-out request.
     pub(super) async fn close_scale_out_requests(&self) {
-        let transaction = shrink_scale_out_request(&self.watch_cache.view(), self.state_limits());
+        let transaction = close_scale_out_request(&self.watch_cache.view(), self.state_limits());
         if let Some(transaction) = transaction {
             self.watch_cache.transaction(&transaction).await;
         }
@@ -32,7 +32,7 @@
             if deletions == 0 {
                 return;
             }
-            let transaction = forget_gone(&self.watch_cache.view(), deletions);
+            let transaction = delete_terminated_records(&self.watch_cache.view(), deletions);
             let Some(transaction) = transaction else {
                 return;
             };
@@ -49,10 +49,10 @@
 /// transaction requires that the records still exist, since a machine named in neither a record nor a
 /// request counts as terminated. If one transaction cannot hold preconditions on all records, the request
 /// shrinks in several steps and keeps the remaining names.
-pub fn shrink_scale_out_request(view: &ClusterState, limits: StateLimits) -> Option<Transaction> {
+pub fn close_scale_out_request(view: &ClusterState, limits: StateLimits) -> Option<Transaction> {
     view.scale_out_requests
         .iter()
-        .filter(|(_, request)| !request.open())
+        .filter(|(_, request)| !request.is_unanswered())
         .find_map(|(name, request)| shrink_request(view, limits, name, request))
 }
 
@@ -103,7 +103,7 @@
 
 /// Returns the transaction that deletes up to `max_deletions` keys: records of terminated machines, and
 /// termination batches without remaining records. Returns `None` if there is nothing to delete.
-pub fn forget_gone(view: &ClusterState, max_deletions: usize) -> Option<Transaction> {
+pub fn delete_terminated_records(view: &ClusterState, max_deletions: usize) -> Option<Transaction> {
     let mut transaction = Transaction::default();
     let mutations = &mut transaction.mutations;
     for (name, batch) in &view.termination_batches {
--- a/src/autoscaler/reconciler/machine_list.rs
+++ b/src/autoscaler/reconciler/machine_list.rs
@@ -55,7 +55,7 @@
                 &view,
                 &list,
                 &mut state.consecutive_unlisted,
-                |record| requested_at.saturating_sub(record.rented_at) >= listed_after,
+                |record| requested_at.saturating_sub(record.provisioned_at) >= listed_after,
             ));
             let unknown = unknown_machines(&view, &list, &state.terminated_at, requested_at);
             (lost, unknown)
@@ -105,7 +105,7 @@
         requested_at: Micros,
     ) {
         for (kind, machines) in unknown {
-            for chunk in machines.chunks(self.machines_per_request()) {
+            for chunk in machines.chunks(self.max_machines_per_request()) {
                 let newest = chunk.iter().map(|machine| machine.provisioned_at).max();
                 let request = ScaleOutRequest {
                     machine_type: kind.machine_type.clone(),
--- a/src/autoscaler/reconciler/provisioning_errors.rs
+++ b/src/autoscaler/reconciler/provisioning_errors.rs
@@ -13,7 +13,7 @@
 
 /// Recently refused instance kinds, and the sequence number of requests to the cloud.
 #[derive(Default)]
-pub struct ProvisioningErrors {
+pub struct CloudRequestState {
     /// Time until which each refused instance kind is not requested.
     refused_until: RefCell<HashMap<InstanceKind, Micros>>,
     /// Sequence number of the last request to the cloud. It is not reset during the lifetime of the process:
@@ -22,7 +22,7 @@
     last_request_number: Cell<u64>,
 }
 
-impl ProvisioningErrors {
+impl CloudRequestState {
     /// Returns whether the cloud recently refused this instance kind.
     pub(super) fn recently_refused(
         &self,
--- a/src/autoscaler/reconciler/scale_out_requests.rs
+++ b/src/autoscaler/reconciler/scale_out_requests.rs
@@ -36,7 +36,7 @@
 
 impl Controller {
     /// Returns the number of machines whose names fit into one stored scale-out request or termination batch.
-    pub fn machines_per_request(&self) -> usize {
+    pub fn max_machines_per_request(&self) -> usize {
         let names =
             self.value_limit().saturating_sub(REQUEST_OVERHEAD_BYTES) / MAX_MACHINE_NAME_BYTES;
         names.clamp(1, MAX_MACHINES_PER_REQUEST)
@@ -80,7 +80,7 @@
             let outstanding = state.outstanding_requests.borrow();
             view.scale_out_requests
                 .iter()
-                .filter(|(name, request)| request.open() && !outstanding.contains(*name))
+                .filter(|(name, request)| request.is_unanswered() && !outstanding.contains(*name))
                 .map(|(name, request)| (name.clone(), request.clone()))
                 .collect()
         };
@@ -103,14 +103,14 @@
         let machines = match self.provision(name, request).await {
             ProvisionOutcome::Provisioned(machines) => machines,
             ProvisionOutcome::Refused => {
-                self.provisioning_errors
+                self.cloud_request_state
                     .record_refusal(request, self.clock.now());
                 Vec::new()
             }
             ProvisionOutcome::Retry => return self.sleep(SECOND).await,
         };
         if !machines.is_empty() && machines.len() < request.count as usize {
-            self.provisioning_errors
+            self.cloud_request_state
                 .record_refusal(request, self.clock.now());
         }
         let answered_request = (!machines.is_empty()).then(|| {
--- a/src/autoscaler/reconciler/terminations.rs
+++ b/src/autoscaler/reconciler/terminations.rs
@@ -93,7 +93,7 @@
     /// Marks empty machines for termination, many with one write. When a deployment shrinks, one write per
     /// machine would take longer than the remaining work.
     pub(super) async fn write_termination_batches(&self, ids: &[MachineId]) {
-        for chunk in ids.chunks(self.machines_per_request()) {
+        for chunk in ids.chunks(self.max_machines_per_request()) {
             // The machines must still be empty, see `write_machine_states`.
             if !self.watch_cache.linearizable_read().await {
                 return;
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -209,7 +209,7 @@
         })
         .filter(|machine_type| {
             let mut zones = machine_type.zones.iter();
-            zones.any(|zone| !(forecast.refused)(&machine_type.name, zone, true))
+            zones.any(|zone| !(forecast.recently_refused)(&machine_type.name, zone, true))
         })
         .copied()
         .collect();
--- a/src/autoscaler/scale_out.rs
+++ b/src/autoscaler/scale_out.rs
@@ -61,7 +61,7 @@
             }
             for spot in [true, false] {
                 if (spot && (!shortfall.spot || machine_type.spot_price_per_hour.is_none()))
-                    || (forecast.refused)(&machine_type.name, zone, spot)
+                    || (forecast.recently_refused)(&machine_type.name, zone, spot)
                 {
                     continue;
                 }
@@ -110,7 +110,11 @@
             *machines_by_kind.entry(kind).or_default() += shortfall.machines;
         }
     }
-    let open_requests = || view.scale_out_requests.values().filter(|r| r.open());
+    let open_requests = || {
+        view.scale_out_requests
+            .values()
+            .filter(|r| r.is_unanswered())
+    };
     let requested: u64 = open_requests().map(|r| u64::from(r.count)).sum();
     let mut machine_total = view.machines.len() as u64 + requested;
     let mut requests = Vec::new();
@@ -121,7 +125,7 @@
         let count = ((machines - NEGLIGIBLE_MACHINE_SHARE).ceil().max(0.0) as u64)
             .min(forecast.policy.max_machines.saturating_sub(machine_total))
             .min(MAX_MACHINES_PER_PROVISION_REQUEST)
-            .min(forecast.machines_per_request as u64);
+            .min(forecast.max_machines_per_request as u64);
         if count > 0 {
             machine_total += count;
             requests.push(ScaleOutRequest {
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -3,7 +3,7 @@
 //! Each loop is a method in the module that owns the state that the loop changes. This file owns only the startup
 //! milestones, and derives values that several modules need: terms of shards and limits of the state service.
 
-use crate::autoscaler::reconciler::ProvisioningErrors;
+use crate::autoscaler::reconciler::CloudRequestState;
 use crate::fairness::service_levels::ServiceLevelMonitor;
 use crate::jobs::commit::TransactionLimits;
 use crate::membership::Membership;
@@ -46,7 +46,7 @@
     /// Workers on the machines of the shards that this controller owns.
     pub workers: WorkerRegistry,
     /// Machine types and zones for which the cloud recently refused scale-out requests.
-    pub provisioning_errors: ProvisioningErrors,
+    pub cloud_request_state: CloudRequestState,
     /// State of the reconciliation loop.
     pub reconciler: Reconciler,
     /// Job classes and teams that miss their objectives, tracked while this controller is the leader.
@@ -123,7 +123,7 @@
             watch_cache: WatchCache::new(store, clock),
             membership: Membership::default(),
             workers: WorkerRegistry::default(),
-            provisioning_errors: ProvisioningErrors::default(),
+            cloud_request_state: CloudRequestState::default(),
             reconciler: Reconciler::default(),
             service_level_monitor: RefCell::default(),
             milestones: RefCell::default(),
--- a/src/scheduling/gang_reservation.rs
+++ b/src/scheduling/gang_reservation.rs
@@ -137,7 +137,9 @@
 fn is_up_soon(input: &SchedulingInput<'_>, machine: &MachineRecord, boot_time_s: f64) -> bool {
     match machine.state {
         MachineState::Up => true,
-        MachineState::Booting => machine.rented_at + from_secs(boot_time_s) / 2 < input.wall_clock,
+        MachineState::Booting => {
+            machine.provisioned_at + from_secs(boot_time_s) / 2 < input.wall_clock
+        }
         _ => false,
     }
 }
--- a/src/store/cluster_state/machines.rs
+++ b/src/store/cluster_state/machines.rs
@@ -63,7 +63,7 @@
         put_or_remove(&mut self.scale_out_requests, name.to_string(), value);
         let request = self.scale_out_requests.get(name);
         let machines = request.map_or_else(Vec::new, |request| request.machines.clone());
-        let derived = request.map(|request| request.machine());
+        let derived = request.map(|request| request.initial_machine_record());
         for machine in old_machines.iter().filter(|name| !machines.contains(name)) {
             self.remove_derived_machine(machine);
         }
--- a/src/workers/machine_records.rs
+++ b/src/workers/machine_records.rs
@@ -11,7 +11,7 @@
 use super::worker_state::WorkerState;
 use crate::autoscaler::model::{MachineRecord, MachineState};
 use crate::autoscaler::{
-    MAX_READY_WRITE_DELAY, MAX_READY_WRITE_DELAY_PEERS_AWARE, declare_dead, put_machine,
+    MAX_READY_WRITE_DELAY, MAX_READY_WRITE_DELAY_WITH_PEER_HEARTBEATS, declare_dead, put_machine,
 };
 use crate::controller::Controller;
 use crate::ids::MachineId;
@@ -176,7 +176,7 @@
             max_declared_dead: self
                 .limits()
                 .write_newer_layout
-                .then(|| self.machines_per_request()),
+                .then(|| self.max_machines_per_request()),
             max_up_write_delay: max_up_write_delay(&view, &machines),
             budget: WriteBudget::from_level(self.watch_cache.client().write_level()),
         };
@@ -261,7 +261,7 @@
             address: Some(description.address),
             session: worker.session,
             state: MachineState::Up,
-            rented_at: wall(),
+            provisioned_at: wall(),
         })
     }
 
@@ -340,7 +340,7 @@
     };
     let booting = machines.keys().filter(is_booting).count();
     match view.layout.is_some() && booting <= MAX_READY_MACHINES_PER_HEARTBEAT {
-        true => MAX_READY_WRITE_DELAY_PEERS_AWARE,
+        true => MAX_READY_WRITE_DELAY_WITH_PEER_HEARTBEATS,
         false => MAX_READY_WRITE_DELAY,
     }
 }
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -90,7 +90,7 @@
         address: None,
         session: 1,
         state: crate::autoscaler::model::MachineState::Up,
-        rented_at: 0,
+        provisioned_at: 0,
     };
     cluster.put(&keys::machine("m"), &to_value(&record), 3);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -98,7 +98,7 @@
         address: None,
         session: 1,
         state: MachineState::Up,
-        rented_at: 0,
+        provisioned_at: 0,
     }
 }
 
--- a/tests/invariants/world.rs
+++ b/tests/invariants/world.rs
@@ -158,7 +158,7 @@
                 address: None,
                 session: 1,
                 state: MachineState::Up,
-                rented_at: 0,
+                provisioned_at: 0,
             },
         );
         self.workers.push(SimulatedWorker {
--- a/tests/large_clusters/machines.rs
+++ b/tests/large_clusters/machines.rs
@@ -3,8 +3,8 @@
 
 use crate::world::Cluster;
 use coppergw::autoscaler::model::{MachineRecord, MachineState, ScaleOutRequest, TerminationBatch};
-use coppergw::autoscaler::reconciler::forget_gone;
-use coppergw::autoscaler::{MAX_READY_WRITE_DELAY, declare_dead, not_expected};
+use coppergw::autoscaler::reconciler::delete_terminated_records;
+use coppergw::autoscaler::{MAX_READY_WRITE_DELAY, declare_dead, late_booting_machines};
 use coppergw::ids::MachineId;
 use coppergw::membership::{Shard, shard_of};
 use coppergw::store::keys;
@@ -31,7 +31,7 @@
     let up = MachineRecord {
         state: MachineState::Up,
         session: 1,
-        ..request.machine()
+        ..request.initial_machine_record()
     };
     cluster.put(keys::machine("m-1"), to_value(&up));
     cluster.put(keys::machine("m-2"), to_value(&up));
@@ -89,7 +89,7 @@
         !cluster.state.machines.contains_key(&names[1]),
         "a terminated machine reappeared through a delayed write"
     );
-    let cleanup = forget_gone(&cluster.state, 5).expect("keys to delete");
+    let cleanup = delete_terminated_records(&cluster.state, 5).expect("keys to delete");
     cluster.apply(&cleanup);
     assert_eq!(
         cleanup.mutations.len(),
@@ -102,7 +102,7 @@
     );
 }
 
-/// A machine that has not booted is late once others rented together with it are up. If all of them boot slowly,
+/// A machine that has not booted is late once others provisioned together with it are up. If all of them boot slowly,
 /// none is late.
 #[test]
 fn machine_is_late_only_if_others_have_booted() {
@@ -111,7 +111,7 @@
     let boot_time = (cluster.state.machine_types["gpu"].boot_time_s * 1e6) as u64;
     let booting = MachineRecord {
         state: MachineState::Booting,
-        rented_at: SECOND,
+        provisioned_at: SECOND,
         ..cluster.state.machines[&names[0]].clone()
     };
     let up = MachineRecord {
@@ -123,15 +123,15 @@
     }
     let now = SECOND + boot_time * 2 + MAX_READY_WRITE_DELAY;
     assert!(
-        not_expected(&cluster.state, now, &|_| false).is_empty(),
+        late_booting_machines(&cluster.state, now, &|_| false).is_empty(),
         "no machine has booted"
     );
     cluster.put(keys::machine(&names[0]), to_value(&up));
     assert!(
-        not_expected(&cluster.state, SECOND + boot_time, &|_| false).is_empty(),
+        late_booting_machines(&cluster.state, SECOND + boot_time, &|_| false).is_empty(),
         "not late yet"
     );
-    let late = not_expected(&cluster.state, now, &|_| false);
+    let late = late_booting_machines(&cluster.state, now, &|_| false);
     assert!(late.len() == 1 && late.contains(&names[1]));
 }
 
--- a/tests/large_clusters/world.rs
+++ b/tests/large_clusters/world.rs
@@ -69,7 +69,7 @@
                 address: None,
                 session: 1,
                 state: MachineState::Up,
-                rented_at: 0,
+                provisioned_at: 0,
             };
             let key = keys::machine(&format!("m-{number:06}"));
             cluster.put(key, to_value(&machine));
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use coppergw::autoscaler::model::{MachineRecord, MachineState, ScaleOutRequest};
-use coppergw::autoscaler::reconciler::shrink_scale_out_request;
+use coppergw::autoscaler::reconciler::close_scale_out_request;
 use coppergw::fairness::rounds::truncate_to_size;
 use coppergw::ids::MachineId;
 use coppergw::jobs::commit::{
@@ -881,18 +881,18 @@
         1,
     );
     assert!(
-        shrink_scale_out_request(&view, limits).is_none(),
+        close_scale_out_request(&view, limits).is_none(),
         "no machine has its own key yet"
     );
     for (index, name) in names.iter().enumerate() {
         let record = MachineRecord {
             state: MachineState::Up,
-            ..scale_out_request.machine()
+            ..scale_out_request.initial_machine_record()
         };
         view.put(&keys::machine(name), &to_value(&record), 2 + index as u64);
     }
     for rev in 100.. {
-        let Some(transaction) = shrink_scale_out_request(&view, limits) else {
+        let Some(transaction) = close_scale_out_request(&view, limits) else {
             break;
         };
         assert!(transaction.preconditions.len() <= limits.preconditions());
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -165,10 +165,10 @@
             objectives: &[],
             teams: &self.teams,
             wall_clock: self.now,
-            refused: &|_, _, _| false,
+            recently_refused: &|_, _, _| false,
             idle_since: &HashMap::new(),
-            machines_per_request: 50,
-            known_up: &|_| false,
+            max_machines_per_request: 50,
+            is_known_ready: &|_| false,
         })
     }
 
@@ -511,7 +511,7 @@
         address: None,
         session: 1,
         state,
-        rented_at: 0,
+        provisioned_at: 0,
     };
     for index in 0..40 {
         cluster.store.put(
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -72,7 +72,7 @@
                 2 => MachineState::Closing,
                 _ => MachineState::Up,
             },
-            rented_at: 0,
+            provisioned_at: 0,
         }
     })
 }
@@ -344,7 +344,7 @@
         address: None,
         session: 1,
         state,
-        rented_at: 0,
+        provisioned_at: 0,
     };
     for id in ["m-1", "m-2"] {
         put(
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -66,10 +66,10 @@
             objectives: &[],
             teams: &[],
             wall_clock: NOW,
-            refused: &|_, zone, spot| refused(zone, spot),
+            recently_refused: &|_, zone, spot| refused(zone, spot),
             idle_since: &HashMap::new(),
-            machines_per_request: 50,
-            known_up: &|_| false,
+            max_machines_per_request: 50,
+            is_known_ready: &|_| false,
         })
     }
 }
