--- a/benches/growth.rs
+++ b/benches/growth.rs
@@ -87,7 +87,10 @@
 
 /// Returns the keys and values in the state service.
 fn stored_values(machine_count: usize, empty_count: usize) -> Vec<(String, ciborium::Value)> {
-    let mut values = vec![(keys::TYPES.to_string(), to_value(&vec![machine_type()]))];
+    let mut values = vec![(
+        keys::MACHINE_TYPES.to_string(),
+        to_value(&vec![machine_type()]),
+    )];
     for index in 0..machine_count {
         let machine = MachineRecord {
             machine_type: "t".into(),
@@ -224,13 +227,12 @@
             continue;
         };
         // Every twentieth task is done: one on each machine.
-        let tasks =
-            job.slots().map(
-                |(task_index, task)| match task_index as usize % TASKS_PER_MACHINE {
-                    0 => TaskState::Done,
-                    _ => task.clone(),
-                },
-            );
+        let tasks = job.task_states().map(|(task_index, task)| {
+            match task_index as usize % TASKS_PER_MACHINE {
+                0 => TaskState::Done,
+                _ => task.clone(),
+            }
+        });
         let record = JobRecord((*job.spec).clone(), TaskBlock(tasks.collect()));
         revision += 1;
         cluster.put(&keys::job(&id), &to_value(&record), revision);
--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -196,7 +196,7 @@
     let view = forecast.view;
     let spec: &JobSpec = &job.spec;
     // The next steps of a pipeline count as soon as the preceding steps are about to end.
-    let queued = view.queued_or_blocked(job);
+    let queued = view.queued_or_soon_ready(job);
     let within_quota = queued.saturating_sub(forecast.schedule.quota_limited_count(id));
     let placed_service = spec.kind == JobKind::Service && unplaced == 0;
     if queued + job.placed == 0 || job.cancelled() || placed_service {
--- a/src/autoscaler/reconciler.rs
+++ b/src/autoscaler/reconciler.rs
@@ -87,7 +87,7 @@
         let mut state = LeaderState::new(self.clock.now());
         loop {
             self.sleep(LOOP_INTERVAL).await;
-            if !self.watch_cache.loaded() || !self.watch_cache.current() {
+            if !self.watch_cache.loaded() || !self.watch_cache.is_current() {
                 continue;
             }
             if !self.acquire_leadership().await {
--- a/src/autoscaler/reconciler/garbage_collection.rs
+++ b/src/autoscaler/reconciler/garbage_collection.rs
@@ -26,7 +26,7 @@
     /// Deletes the records of terminated machines with spare write capacity.
     pub(super) async fn delete_terminated_machines(&self) {
         loop {
-            let (level, burst) = self.watch_cache.client().write_level();
+            let (level, burst) = self.watch_cache.client().write_budget();
             let spare_writes = (level - burst * RESERVED_WRITE_BURST_SHARE) as usize;
             let deletions = spare_writes.min(self.state_limits().max_mutations);
             if deletions == 0 {
@@ -37,7 +37,7 @@
                 return;
             };
             match self.watch_cache.transaction(&transaction).await {
-                TransactionOutcome::Done(_) => {}
+                TransactionOutcome::Committed(_) => {}
                 _ => return,
             }
         }
@@ -74,7 +74,7 @@
                 version,
                 key: record_key,
             });
-        } else if version > 0 || !view.deleted(&record_key) {
+        } else if version > 0 || !view.is_deleted(&record_key) {
             kept_machines.push(machine.clone());
         }
     }
--- a/src/autoscaler/reconciler/machine_list.rs
+++ b/src/autoscaler/reconciler/machine_list.rs
@@ -200,7 +200,7 @@
     for (name, listed) in list {
         if terminated_at.contains_key(name)
             || view.machines.contains_key(name.as_str())
-            || view.deleted(&keys::machine(name))
+            || view.is_deleted(&keys::machine(name))
         {
             continue;
         }
--- a/src/autoscaler/reconciler/machine_types.rs
+++ b/src/autoscaler/reconciler/machine_types.rs
@@ -44,7 +44,7 @@
         let mutations = match json_size(&offered) > self.value_limit() {
             true => changed_types(&stored, &offered),
             false => vec![Mutation::Put {
-                key: keys::TYPES.into(),
+                key: keys::MACHINE_TYPES.into(),
                 value: to_value(&offered),
                 lease: None,
             }],
--- a/src/autoscaler/reconciler/scale_out_requests.rs
+++ b/src/autoscaler/reconciler/scale_out_requests.rs
@@ -61,7 +61,7 @@
                 }],
             }
         };
-        if let TransactionOutcome::Done(_) = self.watch_cache.transaction(&transaction).await {
+        if let TransactionOutcome::Committed(_) = self.watch_cache.transaction(&transaction).await {
             tracing::info!(
                 request = name,
                 machine_type = request.machine_type,
@@ -186,7 +186,7 @@
         };
         if !matches!(
             self.watch_cache.transaction(&transaction).await,
-            TransactionOutcome::Done(_)
+            TransactionOutcome::Committed(_)
         ) {
             self.watch_cache.linearizable_read().await;
             self.sleep(SECOND / 4).await;
--- a/src/autoscaler/reconciler/terminations.rs
+++ b/src/autoscaler/reconciler/terminations.rs
@@ -30,7 +30,7 @@
 impl Controller {
     /// Returns the writes available for marking machines; user requests and placements take precedence.
     fn spare_writes(&self) -> usize {
-        let (level, burst) = self.watch_cache.client().write_level();
+        let (level, burst) = self.watch_cache.client().write_budget();
         (level - burst * RESERVED_WRITE_BURST_SHARE).max(0.0) as usize
     }
 
@@ -48,7 +48,9 @@
             if transaction.mutations.is_empty() {
                 continue;
             }
-            if let TransactionOutcome::Done(_) = self.watch_cache.transaction(&transaction).await {
+            if let TransactionOutcome::Committed(_) =
+                self.watch_cache.transaction(&transaction).await
+            {
                 let machines = transaction.mutations.len();
                 tracing::info!(machines, ?state, "machine states written");
             }
@@ -123,7 +125,9 @@
             let unchanged_keys = vec![keys::LEADER.into()];
             let transaction =
                 put_termination_batch(&self.watch_cache.view(), &name, &batch, unchanged_keys);
-            if let TransactionOutcome::Done(_) = self.watch_cache.transaction(&transaction).await {
+            if let TransactionOutcome::Committed(_) =
+                self.watch_cache.transaction(&transaction).await
+            {
                 tracing::info!(batch = name, machines = count, "termination batch written");
             }
         }
@@ -280,7 +284,7 @@
                     .collect(),
             };
             match self.watch_cache.transaction(&transaction).await {
-                TransactionOutcome::Done(_) => {}
+                TransactionOutcome::Committed(_) => {}
                 _ => return self.sleep(SECOND / 2).await,
             }
         }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -231,7 +231,7 @@
         if !self.watch_cache.loaded() {
             return false;
         }
-        self.watch_cache.current() || self.state_service_unreachable_for_all()
+        self.watch_cache.is_current() || self.state_service_unreachable_for_all()
     }
 
     /// Returns whether no controller reaches the state service, so that no other controller can serve users better.
@@ -297,7 +297,7 @@
         let write_newer_layout = self.watch_cache.view().layout.is_some();
         TransactionLimits {
             max_mutations: self.state_limits().max_mutations,
-            max_merged_mutations: (self.watch_cache.client().write_level().1 / 2.0) as usize,
+            max_merged_mutations: (self.watch_cache.client().write_budget().1 / 2.0) as usize,
             max_bytes: MAX_TRANSACTION_BYTES,
             max_value_bytes: self.value_limit(),
             write_newer_layout,
--- a/src/fairness/task_counts.rs
+++ b/src/fairness/task_counts.rs
@@ -46,7 +46,7 @@
         let mut written = TaskCounts::default();
         loop {
             self.sleep(self.policy.fairness_round).await;
-            if !self.watch_cache.loaded() || !self.watch_cache.current() {
+            if !self.watch_cache.loaded() || !self.watch_cache.is_current() {
                 continue;
             }
             let mut counts = self.task_counts();
@@ -67,7 +67,9 @@
                     lease: None,
                 }],
             };
-            if let TransactionOutcome::Done(_) = self.watch_cache.transaction(&transaction).await {
+            if let TransactionOutcome::Committed(_) =
+                self.watch_cache.transaction(&transaction).await
+            {
                 written = counts;
             }
         }
--- a/src/jobs/api/cancellation.rs
+++ b/src/jobs/api/cancellation.rs
@@ -32,8 +32,8 @@
                 continue;
             };
             match self.watch_cache.transaction(&transaction).await {
-                TransactionOutcome::Done(_) | TransactionOutcome::Conflict(_) => {}
-                TransactionOutcome::Refused(_) | TransactionOutcome::Unknown => {
+                TransactionOutcome::Committed(_) | TransactionOutcome::Conflict(_) => {}
+                TransactionOutcome::Rejected(_) | TransactionOutcome::Unknown => {
                     return service_unavailable();
                 }
             }
--- a/src/jobs/api/job_state.rs
+++ b/src/jobs/api/job_state.rs
@@ -56,7 +56,7 @@
         if let Some(state) = cached.as_ref().filter(|state| is_final(state)) {
             return Ok(Some(state.clone()));
         }
-        if !self.watch_cache.loaded() || !self.watch_cache.current() {
+        if !self.watch_cache.loaded() || !self.watch_cache.is_current() {
             return Err(StateUnavailable);
         }
         if cached.is_none() {
--- a/src/jobs/api/submission.rs
+++ b/src/jobs/api/submission.rs
@@ -133,7 +133,7 @@
                 .ok_or(SubmissionError::Unavailable);
         }
         let mut spec = self.admit(submission)?;
-        if !self.watch_cache.current() {
+        if !self.watch_cache.is_current() {
             return Err(SubmissionError::Unavailable);
         }
         let names = submission.dependencies.as_deref().unwrap_or_default();
@@ -173,7 +173,7 @@
     ) -> Result<Vec<JobId>, SubmissionError> {
         // A controller of the previous version would start the job at once, so dependencies are not
         // accepted until every controller runs a newer version.
-        if self.watch_cache.view().layout.is_none() || !self.watch_cache.current() {
+        if self.watch_cache.view().layout.is_none() || !self.watch_cache.is_current() {
             return Err(SubmissionError::Unavailable);
         }
         let unknown = match check_dependencies(&self.watch_cache.view(), id, names) {
@@ -251,8 +251,10 @@
             let mut mutations = transaction.mutations.iter();
             let writes_record = mutations.any(|mutation| mutation.key() == record_key);
             match self.watch_cache.transaction(&transaction).await {
-                TransactionOutcome::Done(_) if writes_record => return Ok(WriteOutcome::Created),
-                TransactionOutcome::Done(_) => {}
+                TransactionOutcome::Committed(_) if writes_record => {
+                    return Ok(WriteOutcome::Created);
+                }
+                TransactionOutcome::Committed(_) => {}
                 TransactionOutcome::Conflict(_) => {
                     return match self.job_state(id).await? {
                         Some(state) => Ok(WriteOutcome::Existing(state)),
@@ -260,8 +262,8 @@
                         None => Err(SubmissionError::Unavailable),
                     };
                 }
-                TransactionOutcome::Refused(429) => return Err(SubmissionError::Overloaded),
-                TransactionOutcome::Refused(_) | TransactionOutcome::Unknown => {
+                TransactionOutcome::Rejected(429) => return Err(SubmissionError::Overloaded),
+                TransactionOutcome::Rejected(_) | TransactionOutcome::Unknown => {
                     return Err(SubmissionError::Unavailable);
                 }
             }
--- a/src/jobs/commit/job_transaction.rs
+++ b/src/jobs/commit/job_transaction.rs
@@ -165,7 +165,7 @@
         let last_gang_attempt = match is_gang {
             true => self
                 .job
-                .slots()
+                .task_states()
                 .map(|(_, state)| state.last_attempt())
                 .max(),
             false => None,
@@ -220,7 +220,7 @@
     fn task(&self, index: u32) -> Option<&TaskState> {
         match self.changed_blocks.get(&(index / TASKS_PER_BLOCK)) {
             Some(block) => block.0.get((index % TASKS_PER_BLOCK) as usize),
-            None => self.job.slot(index),
+            None => self.job.task_state(index),
         }
     }
 
--- a/src/membership/layout_agreement.rs
+++ b/src/membership/layout_agreement.rs
@@ -40,7 +40,7 @@
             return;
         };
         match self.watch_cache.transaction(&transaction).await {
-            TransactionOutcome::Done(_) => {
+            TransactionOutcome::Committed(_) => {
                 if self.watch_cache.view().layout.is_some() {
                     tracing::info!(
                         layout_version = LAYOUT_VERSION,
--- a/src/membership/leader_election.rs
+++ b/src/membership/leader_election.rs
@@ -87,7 +87,7 @@
             }
         };
         match self.watch_cache.transaction(&claim).await {
-            TransactionOutcome::Done(_) => {
+            TransactionOutcome::Committed(_) => {
                 tracing::info!("became leader");
                 self.watch_cache.linearizable_read().await
             }
--- a/src/membership/lease_renewal.rs
+++ b/src/membership/lease_renewal.rs
@@ -183,7 +183,7 @@
             return MemberKeyWrite::Finished;
         };
         match self.watch_cache.transaction(&claim).await {
-            TransactionOutcome::Refused(400) => self.membership.lease.set(None),
+            TransactionOutcome::Rejected(400) => self.membership.lease.set(None),
             // A delayed request of an earlier incarnation was applied.
             TransactionOutcome::Conflict(_) => {
                 self.watch_cache.linearizable_read().await;
--- a/src/membership/peer_heartbeats.rs
+++ b/src/membership/peer_heartbeats.rs
@@ -42,7 +42,7 @@
         let returned_redirects = self
             .workers
             .returned_redirects(&peer.name, self.clock.now());
-        let request = self.own_heartbeat(self.watch_cache.current(), returned_redirects, None);
+        let request = self.own_heartbeat(self.watch_cache.is_current(), returned_redirects, None);
         let body = Some(pack(&request));
         let requested_at = self.clock.now();
         let response = self
@@ -117,7 +117,7 @@
                 .worker_reachability
                 .record_returned_redirect(now);
         }
-        let state_service_reachable = self.watch_cache.current();
+        let state_service_reachable = self.watch_cache.is_current();
         let digest = self.own_digest(state_service_reachable, &heartbeat);
         // The hold takes effect before the response that grants it is sent.
         let confirmations_held_until = &self.membership.confirmations_held_until;
--- a/src/membership/shard_ownership.rs
+++ b/src/membership/shard_ownership.rs
@@ -117,7 +117,7 @@
             })
             .await;
             self.sleep(CHANGE_DEBOUNCE_DELAY).await;
-            if !self.watch_cache.loaded() || !self.watch_cache.current() {
+            if !self.watch_cache.loaded() || !self.watch_cache.is_current() {
                 continue;
             }
             self.check_worker_reachability();
@@ -125,7 +125,7 @@
                 continue;
             };
             match self.watch_cache.transaction(&claim).await {
-                TransactionOutcome::Done(_) => {
+                TransactionOutcome::Committed(_) => {
                     tracing::info!(shards = claim.mutations.len(), "shards claimed");
                     // The new term is usable only once all earlier writes are in the view.
                     self.watch_cache.linearizable_read().await;
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -68,7 +68,7 @@
 /// Inputs and time of the last update of the registry of workers.
 #[derive(Default)]
 struct MachineSync {
-    machines_epoch: u64,
+    machines_change_count: u64,
     /// This controller's term of each shard, by shard; `None` for shards that it did not own.
     terms: Vec<Option<u64>>,
     synced_at: Micros,
@@ -122,7 +122,7 @@
             let view = self.watch_cache.view();
             self.update_budget_share(&view);
             self.sync_machines_if_due(&view, &scope);
-            if self.watch_cache.current() {
+            if self.watch_cache.is_current() {
                 self.collect_ended_attempts(&view, &scope);
                 self.stage_transactions(&view, &scope)
             } else {
@@ -176,7 +176,7 @@
     fn update_budget_share(&self, view: &ClusterState) {
         let alive = view.members.len().clamp(1, self.settings.peers.len() + 1) as f64;
         let limits = self.state_limits();
-        self.watch_cache.client().set_rates(
+        self.watch_cache.client().set_rate_limits(
             limits.rps * REQUEST_SHARE / alive,
             limits.write_rps * WRITE_SHARE / alive,
         );
@@ -189,14 +189,15 @@
         let changed = {
             let last = self.reconciler.machine_sync.borrow();
             let due = scope.now.saturating_sub(last.synced_at) >= HEARTBEAT_CHECK_INTERVAL;
-            last.terms != scope.terms || (due && last.machines_epoch != view.machines_epoch)
+            last.terms != scope.terms
+                || (due && last.machines_change_count != view.machines_change_count)
         };
         if !scope.machine_check_due && !changed {
             return;
         }
         self.sync_machines(view, &scope.terms, scope.now);
         *self.reconciler.machine_sync.borrow_mut() = MachineSync {
-            machines_epoch: view.machines_epoch,
+            machines_change_count: view.machines_change_count,
             terms: scope.terms.clone(),
             synced_at: scope.now,
         };
@@ -253,7 +254,7 @@
     }
 
     fn write_budget(&self) -> WriteBudget {
-        let (available, burst) = self.watch_cache.client().write_level();
+        let (available, burst) = self.watch_cache.client().write_budget();
         WriteBudget { available, burst }
     }
 
@@ -294,12 +295,12 @@
     /// time. After a conflict or without a response, the state is read again first.
     async fn commit(&self, staged: &StagedTransaction) {
         match self.watch_cache.transaction(&staged.transaction).await {
-            TransactionOutcome::Done(_) => {}
+            TransactionOutcome::Committed(_) => {}
             TransactionOutcome::Conflict(keys) => {
                 tracing::debug!(?keys, "transaction conflicts with a newer version");
                 self.watch_cache.linearizable_read().await;
             }
-            TransactionOutcome::Refused(code) => {
+            TransactionOutcome::Rejected(code) => {
                 tracing::debug!(code, "transaction refused by the state service");
                 self.sleep(REFUSAL_RETRY_DELAY).await;
             }
@@ -319,7 +320,7 @@
                 return;
             };
             match self.watch_cache.transaction(&transaction).await {
-                TransactionOutcome::Done(_) => {}
+                TransactionOutcome::Committed(_) => {}
                 _ => return,
             }
             // Continues only with the part of the write budget that no other write needs.
--- a/src/reconciliation/write_delay.rs
+++ b/src/reconciliation/write_delay.rs
@@ -45,7 +45,7 @@
 fn was_asked_to_stop(job: &Job, change: &JobChange) -> bool {
     match change {
         JobChange::AttemptEnded { index, .. } => matches!(
-            job.slot(*index),
+            job.task_state(*index),
             Some(TaskState::Placed(placement)) if placement.stop_grace_period.is_some()
         ),
         _ => false,
--- a/src/scheduling/attempt.rs
+++ b/src/scheduling/attempt.rs
@@ -41,7 +41,7 @@
     ) -> PlacementAttempt<'a> {
         let task_indexes = entry
             .job
-            .slots()
+            .task_states()
             .filter(|(_, state)| matches!(state, TaskState::Waiting(_)))
             .map(|(index, _)| index)
             .skip(entry.waiting_offset)
--- a/src/scheduling/machines.rs
+++ b/src/scheduling/machines.rs
@@ -62,7 +62,7 @@
 /// machines a large gang can be preempted more often than it saves checkpoints: it makes no progress,
 /// and all its machines are paid for again with each attempt.
 pub fn may_use_spot(job: &Job) -> bool {
-    let lost_attempts = || job.slot(0).map_or(0, TaskState::last_attempt);
+    let lost_attempts = || job.task_state(0).map_or(0, TaskState::last_attempt);
     job.spec.allow_spot
         && (job.spec.kind != JobKind::Gang
             || job.spec.task_count == 1
--- a/src/scheduling/queue.rs
+++ b/src/scheduling/queue.rs
@@ -127,7 +127,7 @@
 
 fn is_scheduled(input: &SchedulingInput<'_>, id: &JobId, job: &Job) -> bool {
     let queued = if input.forecast {
-        input.view.queued_or_blocked(job)
+        input.view.queued_or_soon_ready(job)
     } else {
         job.queued()
     };
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -29,11 +29,11 @@
 #[derive(Debug, PartialEq)]
 pub enum TransactionOutcome {
     /// Committed at this revision.
-    Done(u64),
+    Committed(u64),
     /// Not committed: preconditions on these keys failed.
     Conflict(Vec<String>),
     /// Not committed, with this HTTP status: malformed, over a rate limit or service unavailable.
-    Refused(u16),
+    Rejected(u16),
     /// No response that can be decoded: the transaction may have been committed or may still be committed.
     Unknown,
 }
@@ -111,14 +111,14 @@
 
     /// Returns the number of keys that could be written without waiting, and the burst size of the write
     /// budget.
-    pub fn write_level(&self) -> (f64, f64) {
+    pub fn write_budget(&self) -> (f64, f64) {
         let now = self.clock.now();
         let mut writes = self.writes.borrow_mut();
         (writes.available(now), writes.burst())
     }
 
     /// Changes the budget from now on. The limits of the service are shared by all live controllers.
-    pub fn set_rates(&self, requests_per_s: f64, writes_per_s: f64) {
+    pub fn set_rate_limits(&self, requests_per_s: f64, writes_per_s: f64) {
         let now = self.clock.now();
         self.requests.borrow_mut().set_rate(requests_per_s, now);
         self.writes.borrow_mut().set_rate(writes_per_s, now);
@@ -247,7 +247,7 @@
 fn transaction_outcome(transaction: &Transaction, response: &ClientResponse) -> TransactionOutcome {
     match response.status {
         200 => match decode::<Revision>(&response.body) {
-            Ok(committed) => TransactionOutcome::Done(committed.revision),
+            Ok(committed) => TransactionOutcome::Committed(committed.revision),
             Err(_) => TransactionOutcome::Unknown,
         },
         409 => {
@@ -258,7 +258,7 @@
             if status == 400 {
                 log_malformed_transaction(transaction, response);
             }
-            TransactionOutcome::Refused(status)
+            TransactionOutcome::Rejected(status)
         }
         _ => TransactionOutcome::Unknown,
     }
--- a/src/store/cluster_state/dependencies.rs
+++ b/src/store/cluster_state/dependencies.rs
@@ -232,7 +232,7 @@
 
     /// Returns the number of tasks that may start now, or, if all tasks of all unfinished dependencies are
     /// running, within about the time that a machine takes to boot.
-    pub fn queued_or_blocked(&self, job: &Job) -> u32 {
+    pub fn queued_or_soon_ready(&self, job: &Job) -> u32 {
         if job.ready || job.cancelled() {
             return job.queued();
         }
--- a/src/store/cluster_state/finished_jobs.rs
+++ b/src/store/cluster_state/finished_jobs.rs
@@ -60,13 +60,13 @@
     /// never change, and there are too many to keep a version of each.
     pub(super) fn apply_finished_job(&mut self, key: &str, id: &str, value: Option<&Value>) {
         if let Some(finished) = value.and_then(from_value) {
-            self.remember_finished_job(&id.into(), finished);
+            self.cache_finished_job(&id.into(), finished);
         }
         self.key_versions.remove_version(key);
     }
 
     /// Caches a final state and refreshes the jobs that depend on that job.
-    pub fn remember_finished_job(&mut self, id: &JobId, finished: FinishedJob) {
+    pub fn cache_finished_job(&mut self, id: &JobId, finished: FinishedJob) {
         if let Some(dependents) = self.dependents.get(id) {
             let dependents = dependents.iter().cloned().collect();
             self.finished_dependencies.insert(id.clone(), finished);
--- a/src/store/cluster_state/job.rs
+++ b/src/store/cluster_state/job.rs
@@ -103,7 +103,7 @@
     }
 
     /// Returns the state of the task with this index.
-    pub fn slot(&self, index: u32) -> Option<&TaskState> {
+    pub fn task_state(&self, index: u32) -> Option<&TaskState> {
         self.blocks
             .get((index / TASKS_PER_BLOCK) as usize)?
             .0
@@ -111,7 +111,7 @@
     }
 
     /// Returns the states of all tasks with their indexes.
-    pub fn slots(&self) -> impl Iterator<Item = (u32, &TaskState)> {
+    pub fn task_states(&self) -> impl Iterator<Item = (u32, &TaskState)> {
         self.blocks
             .iter()
             .flat_map(|block| block.0.iter())
@@ -121,7 +121,7 @@
 
     /// Returns the placements of all tasks on machines with their indexes.
     pub fn placements(&self) -> impl Iterator<Item = (u32, &Placement)> {
-        self.slots().filter_map(|(index, state)| match state {
+        self.task_states().filter_map(|(index, state)| match state {
             TaskState::Placed(placement) => Some((index, placement)),
             _ => None,
         })
--- a/src/store/cluster_state/machines.rs
+++ b/src/store/cluster_state/machines.rs
@@ -29,7 +29,7 @@
         let existed = self.machines.contains_key(&id);
         put_or_remove(&mut self.machines, id.clone(), value);
         self.apply_termination_override(&id);
-        self.machines_epoch += u64::from(existed != self.machines.contains_key(&id));
+        self.machines_change_count += u64::from(existed != self.machines.contains_key(&id));
     }
 
     /// Applies machine types, which are stored all in one value, or one per key if that value would be too
@@ -71,14 +71,14 @@
             let key = keys::machine(&machine);
             if let Some(derived) = &derived
                 && !self.key_versions.contains(&key)
-                && !self.deleted(&key)
+                && !self.is_deleted(&key)
             {
                 let id: MachineId = machine.into();
                 self.machines
                     .entry(id.clone())
                     .or_insert_with(|| derived.clone());
                 self.apply_termination_override(&id);
-                self.machines_epoch += 1;
+                self.machines_change_count += 1;
             }
         }
     }
@@ -88,7 +88,7 @@
             let id = MachineId::from(name);
             self.machines.remove(&id);
             self.index_machine(&id);
-            self.machines_epoch += 1;
+            self.machines_change_count += 1;
         }
     }
 
@@ -119,7 +119,7 @@
             self.changed_machines.insert(id.clone());
             self.apply_termination_override(&id);
         }
-        self.machines_epoch += u64::from(machine_count != self.machines.len());
+        self.machines_change_count += u64::from(machine_count != self.machines.len());
     }
 
     /// Ends the termination of a machine that is no longer in a batch: either the machine is not returned
--- a/src/store/cluster_state/mod.rs
+++ b/src/store/cluster_state/mod.rs
@@ -3,7 +3,7 @@
 //! [`ClusterState`] is an in-memory data structure without I/O and without a clock. It is changed through
 //! [`ClusterState::put`], [`ClusterState::delete`] and [`ClusterState::retain_prefix`], which `WatchCache`
 //! calls with the results of its lists, watches and own writes, through
-//! [`ClusterState::remember_finished_job`] for final states read individually, and through
+//! [`ClusterState::cache_finished_job`] for final states read individually, and through
 //! [`ClusterState::merge_cancelled`] for cancellations that peers report. All other code only reads it.
 //!
 //! `apply` dispatches a change by the kind of its key to one function per kind. Each of these functions is in
@@ -106,7 +106,7 @@
     /// Machines whose key or tasks changed since this set was last emptied.
     pub changed_machines: HashSet<MachineId>,
     /// Counter of changes to the set of machines.
-    pub machines_epoch: u64,
+    pub machines_change_count: u64,
     /// Images that are probably cached on each machine.
     pub images: HashMap<MachineId, HashSet<String>>,
     /// Counter of changes, with which loops detect that they have to evaluate the state again.
@@ -131,7 +131,7 @@
     }
 
     /// Returns whether a key is known to have been deleted or belongs to a machine terminated by the cloud.
-    pub fn deleted(&self, key: &str) -> bool {
+    pub fn is_deleted(&self, key: &str) -> bool {
         let terminated =
             |machine: &str| self.terminating.get(machine) == Some(&TerminationProgress::Terminated);
         self.key_versions.is_deleted(key)
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -3,7 +3,7 @@
 //! All keys are under one common prefix, so that a single watch delivers every change.
 
 /// Common prefix of all keys.
-pub const ALL: &str = "c/";
+pub const ROOT_PREFIX: &str = "c/";
 
 /// Prefix of job records.
 pub const JOBS: &str = "c/job/";
@@ -20,11 +20,11 @@
 /// Key of the totals of ended jobs for each class and team.
 pub const SERVICE_LEVELS: &str = "c/served";
 /// Key of the machine types as last read from the cloud.
-pub const TYPES: &str = "c/types";
+pub const MACHINE_TYPES: &str = "c/types";
 
 /// Prefixes read in the initial load: all except the final states, whose number only grows. Final states are
 /// read individually.
-pub const LOADED: &[&str] = &[
+pub const INITIAL_LOAD_PREFIXES: &[&str] = &[
     "c/block/",
     "c/charter/",
     "c/counts/",
@@ -40,7 +40,7 @@
     SERVICE_LEVELS,
     "c/slots/",
     "c/team/",
-    TYPES,
+    MACHINE_TYPES,
     "c/version/",
 ];
 
@@ -59,7 +59,7 @@
     TerminationBatch,
     /// [`machine`].
     Machine,
-    /// [`TYPES`] or [`machine_type`].
+    /// [`MACHINE_TYPES`] or [`machine_type`].
     MachineTypes,
     /// [`counts`].
     Counts,
@@ -86,7 +86,7 @@
 /// Splits a key into its kind and the name after the kind. Returns `None` for keys of unknown kinds and for
 /// keys whose values are never read ([`team`]).
 pub fn parse(key: &str) -> Option<(KeyKind, &str)> {
-    let rest = key.strip_prefix(ALL)?;
+    let rest = key.strip_prefix(ROOT_PREFIX)?;
     let (kind, name) = rest.split_once('/').unwrap_or((rest, ""));
     let kind = match kind {
         "member" => KeyKind::Member,
@@ -138,7 +138,7 @@
 }
 /// Returns the key of one machine type, used if all machine types do not fit into one value.
 pub fn machine_type(name: &str) -> String {
-    format!("{TYPES}/{}", sanitised_name(name))
+    format!("{MACHINE_TYPES}/{}", sanitised_name(name))
 }
 /// Returns the key of a scale-out request.
 pub fn scale_out_request(name: &str) -> String {
--- a/src/store/keys/tests.rs
+++ b/src/store/keys/tests.rs
@@ -21,7 +21,7 @@
         (finished_job("req-1"), KeyKind::FinishedJob, "req-1"),
         (machine("m-1"), KeyKind::Machine, "m-1"),
         (machine_type("g8"), KeyKind::MachineTypes, "g8"),
-        (TYPES.into(), KeyKind::MachineTypes, ""),
+        (MACHINE_TYPES.into(), KeyKind::MachineTypes, ""),
         (scale_out_request("a"), KeyKind::ScaleOutRequest, "a"),
         (termination_batch("a"), KeyKind::TerminationBatch, "a"),
         (counts("a"), KeyKind::Counts, "a"),
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -123,7 +123,7 @@
     }
 
     /// Returns whether the state was known to be current within the last `MAX_STALENESS`.
-    pub fn current(&self) -> bool {
+    pub fn is_current(&self) -> bool {
         self.clock.now().saturating_sub(self.current_at.get()) < MAX_STALENESS
     }
 
@@ -143,7 +143,7 @@
     /// Executes a transaction. Its writes are applied to the state before the watch delivers them.
     pub async fn transaction(&self, transaction: &Transaction) -> TransactionOutcome {
         let outcome = self.client.transaction(transaction).await;
-        if let TransactionOutcome::Done(revision) = outcome {
+        if let TransactionOutcome::Committed(revision) = outcome {
             self.apply_own_transaction(transaction, revision);
         }
         outcome
@@ -239,7 +239,11 @@
     async fn read_watch(&self, outage: &mut OutageReporter) {
         let after = self.state.borrow().revision;
         let sent_at = self.clock.now();
-        match self.client.watch(keys::ALL, after, WATCH_WAIT_TIME).await {
+        match self
+            .client
+            .watch(keys::ROOT_PREFIX, after, WATCH_WAIT_TIME)
+            .await
+        {
             Ok(log) => {
                 let now = self.clock.now();
                 outage.log_response(now);
--- a/src/store/watch_cache/final_states.rs
+++ b/src/store/watch_cache/final_states.rs
@@ -19,7 +19,7 @@
     pub async fn dependency_lookup_loop(&self) {
         loop {
             sleep(DEPENDENCY_LOOKUP_INTERVAL).await;
-            if !self.loaded.get() || !self.current() {
+            if !self.loaded.get() || !self.is_current() {
                 continue;
             }
             let unknown = self.state.borrow().unknown_dependencies();
@@ -38,7 +38,7 @@
             return Ok(None);
         };
         let finished: FinishedJob = from_value(&item.value).ok_or(WireError::Malformed(key))?;
-        self.state.borrow_mut().remember_finished_job(id, finished);
+        self.state.borrow_mut().cache_finished_job(id, finished);
         self.notifier.notify();
         Ok(Some(finished))
     }
--- a/src/store/watch_cache/initial_load.rs
+++ b/src/store/watch_cache/initial_load.rs
@@ -10,7 +10,7 @@
     /// Reads the whole state. Keys that no longer exist are removed from the state.
     pub(super) async fn load(&self) -> Result<(), WireError> {
         let mut revisions = RevisionRange::EMPTY;
-        for prefix in keys::LOADED {
+        for prefix in keys::INITIAL_LOAD_PREFIXES {
             revisions = revisions.union(self.load_prefix(prefix).await?);
         }
         self.state.borrow_mut().revision = revisions.smallest;
@@ -19,7 +19,7 @@
         loop {
             let after = self.state.borrow().revision;
             let sent_at = self.clock.now();
-            let log = self.client.watch(keys::ALL, after, 0).await?;
+            let log = self.client.watch(keys::ROOT_PREFIX, after, 0).await?;
             let times = ReadTimes {
                 sent_at,
                 current_at: sent_at,
--- a/src/store/watch_cache/linearizable_read.rs
+++ b/src/store/watch_cache/linearizable_read.rs
@@ -43,7 +43,7 @@
     async fn read_log(&self) -> bool {
         let sent_at = self.clock.now();
         let after = self.state.borrow().revision;
-        match self.client.watch(keys::ALL, after, 0).await {
+        match self.client.watch(keys::ROOT_PREFIX, after, 0).await {
             Ok(log) => {
                 let times = ReadTimes {
                     sent_at,
--- a/src/workers/machine_records.rs
+++ b/src/workers/machine_records.rs
@@ -146,7 +146,7 @@
 
     /// Writes the machine records that differ from their desired content.
     pub fn write_machine_records(self: &Rc<Controller>, now: Micros) {
-        if !self.watch_cache.current() {
+        if !self.watch_cache.is_current() {
             return;
         }
         let writes = self.collect_record_writes(now);
@@ -178,7 +178,7 @@
                 .write_newer_layout
                 .then(|| self.max_machines_per_request()),
             max_up_write_delay: max_up_write_delay(&view, &machines),
-            budget: WriteBudget::from_level(self.watch_cache.client().write_level()),
+            budget: WriteBudget::from_level(self.watch_cache.client().write_budget()),
         };
         let max_mutations = self.state_limits().max_mutations;
         let being_written = self.workers.machines_being_written.borrow();
@@ -243,7 +243,7 @@
         // A deleted record belonged to a machine that was terminated and no longer exists, however
         // recent its last message is. If it were recorded again, tasks would be placed there and never
         // start.
-        let terminated = self.watch_cache.view().deleted(&keys::machine(id));
+        let terminated = self.watch_cache.view().is_deleted(&keys::machine(id));
         let fenced_at = worker.heartbeat.fenced_at;
         let fenced_long_enough =
             fenced_at.is_some_and(|at| now.saturating_sub(at) > MAX_READY_WRITE_DELAY);
@@ -312,8 +312,8 @@
         self.executor
             .spawn(async move {
                 match controller.watch_cache.transaction(&transaction).await {
-                    TransactionOutcome::Done(_) => {}
-                    TransactionOutcome::Refused(_) => controller.sleep(REFUSAL_RETRY_DELAY).await,
+                    TransactionOutcome::Committed(_) => {}
+                    TransactionOutcome::Rejected(_) => controller.sleep(REFUSAL_RETRY_DELAY).await,
                     _ => {
                         controller.watch_cache.linearizable_read().await;
                     }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -283,12 +283,12 @@
 /// Result of each function that builds a key, and each constant key.
 fn check_key_names(golden: &GoldenFiles) {
     let mut names: Vec<String> = vec![
-        keys::ALL.into(),
+        keys::ROOT_PREFIX.into(),
         keys::LAYOUT.into(),
         keys::LEADER.into(),
         keys::PRIORITY_BOOSTS.into(),
         keys::SERVICE_LEVELS.into(),
-        keys::TYPES.into(),
+        keys::MACHINE_TYPES.into(),
         keys::job("req-000412"),
         keys::block("req-000412", 3),
         keys::block_part("req-000412", 3, 64, 2),
@@ -306,7 +306,11 @@
         keys::team("free"),
         keys::team("a team\nwith spaces and more than forty characters"),
     ];
-    names.extend(keys::LOADED.iter().map(|prefix| format!("read {prefix}")));
+    names.extend(
+        keys::INITIAL_LOAD_PREFIXES
+            .iter()
+            .map(|prefix| format!("read {prefix}")),
+    );
     let listed = golden.text("keys.txt");
     assert_eq!(listed.lines().collect::<Vec<_>>(), names);
 }
@@ -327,7 +331,7 @@
         state::key(keys::LEADER),
         state::list("c/job/", None),
         state::list("c/job/", Some("c/job/req-000412")),
-        state::watch(keys::ALL, 120, 2500),
+        state::watch(keys::ROOT_PREFIX, 120, 2500),
         state::renew(77),
     ];
     let listed = golden.text("paths.txt");
@@ -526,7 +530,7 @@
     put(keys::counts("node-a"), "counts.full");
     put(keys::PRIORITY_BOOSTS.into(), "raises.full");
     put(keys::SERVICE_LEVELS.into(), "served.full");
-    put(keys::TYPES.into(), "types.full");
+    put(keys::MACHINE_TYPES.into(), "types.full");
     put(keys::machine_type("c4"), "type.least");
     put(keys::finished_job("req-000411"), "final.full");
     let orphaned_keys: BTreeSet<String> = view
--- a/tests/invariants/world.rs
+++ b/tests/invariants/world.rs
@@ -127,7 +127,9 @@
             cancelled_at: HashMap::new(),
             started_gang_tasks: 0,
         };
-        world.store.put(keys::TYPES.into(), &vec![machine_type()]);
+        world
+            .store
+            .put(keys::MACHINE_TYPES.into(), &vec![machine_type()]);
         for _ in 0..4 {
             world.add_machine();
         }
--- a/tests/large_clusters/machines.rs
+++ b/tests/large_clusters/machines.rs
@@ -97,7 +97,7 @@
         "the key of the machine, then the termination batch"
     );
     assert!(
-        cluster.state.deleted(&keys::machine(&names[1]))
+        cluster.state.is_deleted(&keys::machine(&names[1]))
             && cluster.state.termination_batches.is_empty()
     );
 }
--- a/tests/large_clusters/schedules.rs
+++ b/tests/large_clusters/schedules.rs
@@ -125,7 +125,7 @@
     cluster.put_job("req-3", job_spec(JobKind::Array, Priority::Normal, 1, 1, 0));
     let next = cluster.schedule_for_owner(&HashMap::new(), &|id| id == "m-000000");
     cluster.apply_changes(&next);
-    let machine_of = |job: &str| match cluster.state.jobs[job].slot(0) {
+    let machine_of = |job: &str| match cluster.state.jobs[job].task_state(0) {
         Some(TaskState::Placed(placement)) => placement.machine.to_string(),
         other => panic!("{other:?}"),
     };
@@ -160,7 +160,7 @@
     let released_resources = HashMap::from_iter([(MachineId::from("m-000000"), resources)]);
     let next = cluster.schedule(&released_resources);
     cluster.apply_changes(&next);
-    let first_task = |job: &str| cluster.state.jobs[job].slot(0).cloned();
+    let first_task = |job: &str| cluster.state.jobs[job].task_state(0).cloned();
     assert!(
         matches!(first_task("req-1"), Some(TaskState::Placed(_))),
         "the exit is not written yet"
--- a/tests/large_clusters/world.rs
+++ b/tests/large_clusters/world.rs
@@ -52,7 +52,7 @@
             machine_type("cpu", 16.0, 0.0),
             machine_type("gpu", 24.0, 2.0),
         ];
-        cluster.put(keys::TYPES.into(), to_value(&machine_types));
+        cluster.put(keys::MACHINE_TYPES.into(), to_value(&machine_types));
         for number in 0..SHARD_COUNT {
             let shard = Shard {
                 owner: "n".into(),
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -237,7 +237,10 @@
     fn restart(&mut self, controller: usize, new_version: bool) {
         let mut view = ClusterState::default();
         for (key, (value, version)) in &self.store.keys {
-            if keys::LOADED.iter().any(|prefix| key.starts_with(prefix)) {
+            if keys::INITIAL_LOAD_PREFIXES
+                .iter()
+                .any(|prefix| key.starts_with(prefix))
+            {
                 view.put(key, value, *version);
             }
         }
@@ -394,7 +397,7 @@
         if let Some(finished) = finished {
             self.controllers[controller]
                 .view
-                .remember_finished_job(&id.into(), finished);
+                .cache_finished_job(&id.into(), finished);
         }
         finished.is_some()
     }
@@ -522,7 +525,7 @@
             // Placement is attempted for every job: the preconditions must reject those that may not start
             // yet.
             let waiting: Vec<u32> = job
-                .slots()
+                .task_states()
                 .filter(|(_, s)| matches!(s, TaskState::Waiting(_)))
                 .map(|(task, _)| task)
                 .collect();
@@ -970,8 +973,8 @@
         done: 1,
         finished_at: 5,
     };
-    view.remember_finished_job(&"req-3".into(), finished_job(false));
-    view.remember_finished_job(&"req-4".into(), finished_job(true));
+    view.cache_finished_job(&"req-3".into(), finished_job(false));
+    view.cache_finished_job(&"req-4".into(), finished_job(true));
     let check = |names: &[&str]| {
         let names: Vec<String> = names.iter().map(|s| s.to_string()).collect();
         check_dependencies(&view, "req-9", &names)
@@ -1025,7 +1028,7 @@
             .is_some_and(|d| d < due - 2 * last.estimated_run_time)
     );
     assert!(view.jobs["req-4"].ready && !view.jobs["req-3"].ready);
-    view.remember_finished_job(
+    view.cache_finished_job(
         &"req-4".into(),
         FinishedJob {
             cancelled: false,
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -68,7 +68,7 @@
             now: 500 * SECOND,
         };
         let types = vec![machine_type("cpu", 16.0, 0.0)];
-        cluster.store.put(keys::TYPES.into(), &types);
+        cluster.store.put(keys::MACHINE_TYPES.into(), &types);
         for index in 0..SHARD_COUNT {
             let shard = Shard {
                 owner: format!("n{}", index % 3),
@@ -424,7 +424,7 @@
             }
             cluster.catch_up(&mut current, u64::MAX);
             low_starts = current.jobs.iter().filter(|(id, _)| id.starts_with("req-2")).map(|(_, job)| {
-                job.slots().filter(|(_, s)| !matches!(s, TaskState::Waiting(0))).count()
+                job.task_states().filter(|(_, s)| !matches!(s, TaskState::Waiting(0))).count()
             }).sum();
         }
         prop_assert!(low_starts >= 6, "only {low_starts} starts of low priority");
@@ -503,7 +503,7 @@
         machine_type("cpu", 16.0, 0.0),
         machine_type("gpu", 24.0, 2.0),
     ];
-    cluster.store.put(keys::TYPES.into(), &types);
+    cluster.store.put(keys::MACHINE_TYPES.into(), &types);
     let machine = |state| MachineRecord {
         machine_type: "gpu".into(),
         zone: "a".into(),
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -240,7 +240,7 @@
             revision += 1;
             view.put(key, value, revision);
         };
-        put(&mut view, keys::TYPES, &to_value(&types()));
+        put(&mut view, keys::MACHINE_TYPES, &to_value(&types()));
         for index in 0..SHARD_COUNT {
             let shard = Shard { owner: "n".into(), lease: 1, term: 1 };
             put(&mut view, &keys::shard(index), &to_value(&shard));
@@ -279,7 +279,7 @@
 fn services_preempt_lower_priorities() {
     let changes_for_service = |job_priority| {
         let mut view = ClusterState::default();
-        view.put(keys::TYPES, &to_value(&types()), 1);
+        view.put(keys::MACHINE_TYPES, &to_value(&types()), 1);
         let machine = common::up("small");
         view.put(&keys::machine("m-1"), &to_value(&machine), 2);
         let running_job = JobSpec {
@@ -336,7 +336,7 @@
         revision += 1;
         view.put(&key, &value, revision);
     };
-    put(&mut view, keys::TYPES.into(), to_value(&types()));
+    put(&mut view, keys::MACHINE_TYPES.into(), to_value(&types()));
     let machine = |state| MachineRecord {
         machine_type: "small".into(),
         zone: "a".into(),
@@ -471,7 +471,7 @@
 #[test]
 fn a_write_limited_schedule_is_a_prefix() {
     let mut view = ClusterState::default();
-    view.put(keys::TYPES, &to_value(&types()), 1);
+    view.put(keys::MACHINE_TYPES, &to_value(&types()), 1);
     for index in 0..20 {
         let machine = common::up("small");
         view.put(
@@ -533,7 +533,7 @@
 /// since their submission.
 fn waiting_jobs(kind: JobKind, jobs: &[(u32, u64)]) -> ClusterState {
     let mut view = ClusterState::default();
-    view.put(keys::TYPES, &to_value(&types()), 1);
+    view.put(keys::MACHINE_TYPES, &to_value(&types()), 1);
     let shard = Shard {
         owner: "n".into(),
         lease: 1,
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -26,7 +26,7 @@
         let mut store = Store::default();
         let mut cpu_type = machine_type("cpu", 16.0, 0.0);
         cpu_type.zones = vec!["a".into(), "b".into(), "c".into()];
-        store.put(keys::TYPES.into(), &vec![cpu_type]);
+        store.put(keys::MACHINE_TYPES.into(), &vec![cpu_type]);
         TestCluster(store)
     }
 
