--- a/crates/base/src/settings.rs
+++ b/crates/base/src/settings.rs
@@ -86,7 +86,7 @@
     /// Share of the jobs that must meet the objective, from 0 to 1.
     pub share: f64,
     /// For [`ObjectiveKind::Deadline`]: multiple of the job's own deadline, in thousandths.
-    pub times: u64,
+    pub deadline_thousandths: u64,
 }
 
 /// Preconditions that the state service allows per mutation of a transaction.
@@ -96,9 +96,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StateLimits {
     /// Requests per second.
-    pub rps: f64,
+    pub requests_per_s: f64,
     /// Writes per second; each mutation of a transaction counts as one write.
-    pub write_rps: f64,
+    pub writes_per_s: f64,
     /// Largest value, in bytes of JSON.
     pub max_value_bytes: usize,
     /// Maximum number of mutations in a transaction.
@@ -108,7 +108,7 @@
 impl StateLimits {
     /// Maximum number of preconditions in a transaction: the state service allows a fixed number for each mutation
     /// of the largest transaction.
-    pub fn preconditions(&self) -> usize {
+    pub fn max_preconditions(&self) -> usize {
         self.max_mutations * PRECONDITIONS_PER_MUTATION
     }
 }
@@ -143,9 +143,9 @@
     /// Lease of a worker: a worker kills its tasks if no heartbeat is answered for this time.
     pub worker_lease: Micros,
     /// Time for which a worker waits until all tasks of a gang are present.
-    pub gang_wait: Micros,
+    pub gang_wait_timeout: Micros,
     /// Time within which the tasks of a gang detect the loss of one of them.
-    pub gang_peer: Micros,
+    pub gang_loss_notice: Micros,
     /// Time within which every task of a job has stopped after its cancellation is confirmed.
     pub cancel_within: Micros,
     /// Current limits of the state service.
@@ -154,19 +154,19 @@
     /// announced.
     pub next_state_limits: Option<StateLimits>,
     /// Requests per second that the cloud API allows.
-    pub cloud_rps: f64,
+    pub cloud_requests_per_s: f64,
     /// Maximum staleness of the cloud's list of machines.
     pub list_lag: Micros,
     /// Maximum number of open sockets of this process.
     pub max_connections: usize,
     /// Share of one CPU that this process may use.
-    pub core_share: f64,
+    pub cpu_share: f64,
     /// Memory that this process may use, in megabytes.
     pub memory_mb: f64,
 }
 
 /// Converts CPUs, GPUs or gigabytes to thousandths, the unit of all resource amounts in the program.
-pub fn milli(amount: f64) -> i64 {
+pub fn to_thousandths(amount: f64) -> i64 {
     (amount * 1000.0).round() as i64
 }
 
--- a/crates/base/src/settings/check.rs
+++ b/crates/base/src/settings/check.rs
@@ -4,7 +4,9 @@
     FileDeployment, FileMachineLimits, FileNextState, FileObjective, FilePeer, FileState, FileTeam,
     SettingsFile,
 };
-use super::{Objective, ObjectiveKind, Peer, Settings, SettingsError, StateLimits, Team, milli};
+use super::{
+    Objective, ObjectiveKind, Peer, Settings, SettingsError, StateLimits, Team, to_thousandths,
+};
 use crate::time::{Micros, from_secs};
 use std::net::SocketAddr;
 
@@ -56,15 +58,15 @@
             .collect(),
         heartbeat_interval: worker_time("report_s", workers.heartbeat_interval_s)?,
         worker_lease: worker_time("lease_s", workers.lease_s)?,
-        gang_wait: worker_time("gang_wait_s", workers.gang_wait_s)?,
-        gang_peer: worker_time("gang_peer_s", workers.gang_loss_notice_s)?,
+        gang_wait_timeout: worker_time("gang_wait_s", workers.gang_wait_s)?,
+        gang_loss_notice: worker_time("gang_peer_s", workers.gang_loss_notice_s)?,
         cancel_within: worker_time("cancel_s", workers.cancel_within_s)?,
         state_limits,
         next_state_limits,
-        cloud_rps: deployment.cloud.requests_per_s,
+        cloud_requests_per_s: deployment.cloud.requests_per_s,
         list_lag: from_secs(deployment.cloud.list_lag_s),
         max_connections: machine_limits.max_connections,
-        core_share: machine_limits.cpu_share,
+        cpu_share: machine_limits.cpu_share,
         memory_mb: machine_limits.memory_mb,
     })
 }
@@ -136,8 +138,8 @@
             return Err(self.error("deployment.state.txn_ops", "0 is too few".into()));
         }
         Ok(StateLimits {
-            rps: state.requests_per_s,
-            write_rps: state.writes_per_s,
+            requests_per_s: state.requests_per_s,
+            writes_per_s: state.writes_per_s,
             max_value_bytes: kilobytes_to_bytes(state.max_value_kb),
             max_mutations: state.max_mutations,
         })
@@ -172,8 +174,8 @@
         }
         let lower = |next: Option<f64>, current: f64| next.unwrap_or(current).min(current);
         Ok(StateLimits {
-            rps: lower(next.requests_per_s, current.rps),
-            write_rps: lower(next.writes_per_s, current.write_rps),
+            requests_per_s: lower(next.requests_per_s, current.requests_per_s),
+            writes_per_s: lower(next.writes_per_s, current.writes_per_s),
             max_value_bytes: next
                 .max_value_kb
                 .map_or(current.max_value_bytes, kilobytes_to_bytes)
@@ -193,10 +195,10 @@
 fn team(team: FileTeam) -> Team {
     Team {
         name: team.name,
-        cpus: milli(team.cpus),
-        cpus_max: milli(team.cpus_max),
-        gpus: milli(team.gpus),
-        gpus_max: milli(team.gpus_max),
+        cpus: to_thousandths(team.cpus),
+        cpus_max: to_thousandths(team.cpus_max),
+        gpus: to_thousandths(team.gpus),
+        gpus_max: to_thousandths(team.gpus_max),
     }
 }
 
@@ -214,6 +216,6 @@
         class: objective.class,
         within: from_secs(objective.within_s),
         share: objective.share,
-        times: (times.unwrap_or(1.0).max(0.0) * 1000.0) as u64,
+        deadline_thousandths: (times.unwrap_or(1.0).max(0.0) * 1000.0) as u64,
     })
 }
--- a/crates/base/src/time.rs
+++ b/crates/base/src/time.rs
@@ -8,7 +8,7 @@
 /// One second.
 pub const SECOND: Micros = 1_000_000;
 /// One millisecond.
-pub const MILLI: Micros = 1_000;
+pub const MILLISECOND: Micros = 1_000;
 
 /// Maximum result of `from_secs`, about 30 years: sums of such times do not overflow.
 const MAX_MICROS: f64 = 1e15;
@@ -50,18 +50,18 @@
     }
 
     /// Returns the microseconds since the start of the clock.
-    pub fn age(&self) -> Micros {
+    pub fn elapsed(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros
     }
 
     /// Returns the current time, as microseconds since the start plus a fixed offset.
     pub fn now(&self) -> Micros {
-        self.age() + CLOCK_OFFSET
+        self.elapsed() + CLOCK_OFFSET
     }
 }
 
 /// Returns the time of the wall clock, in microseconds since the Unix epoch.
-pub fn wall() -> Micros {
+pub fn wall_clock_now() -> Micros {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map(|since_epoch| since_epoch.as_micros() as Micros)
--- a/crates/base/src/wire/client.rs
+++ b/crates/base/src/wire/client.rs
@@ -65,7 +65,7 @@
 /// is a separate one, because it says nothing about the remote host.
 fn connect_error(error: &std::io::Error) -> WireError {
     match error.raw_os_error() {
-        Some(ENFILE | EMFILE) => WireError::Sockets,
+        Some(ENFILE | EMFILE) => WireError::NoFileDescriptors,
         _ => connection_error(error),
     }
 }
@@ -179,7 +179,7 @@
     }
 
     /// Returns the number of calls in progress.
-    pub fn used(&self) -> usize {
+    pub fn calls_in_progress(&self) -> usize {
         self.in_use_count.get()
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// Closes the idle connections to an address, e.g. after it stopped responding.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle_connections(&self, address: SocketAddr) {
         if let Some(streams) = self.idle.borrow_mut().remove(&address) {
             self.idle_count.set(self.idle_count.get() - streams.len());
         }
--- a/crates/base/src/wire/client/tests.rs
+++ b/crates/base/src/wire/client/tests.rs
@@ -28,7 +28,7 @@
                 "the connection is kept for the next call to its address"
             );
             assert!(client.idle_count.get() <= 2);
-            assert_eq!(client.used(), 0);
+            assert_eq!(client.calls_in_progress(), 0);
         }
     }));
 }
@@ -38,7 +38,7 @@
 #[test]
 fn file_descriptor_exhaustion_differs_from_connection_errors() {
     let error_of = |code| connect_error(&std::io::Error::from_raw_os_error(code));
-    assert!(matches!(error_of(24), WireError::Sockets));
-    assert!(matches!(error_of(23), WireError::Sockets));
+    assert!(matches!(error_of(24), WireError::NoFileDescriptors));
+    assert!(matches!(error_of(23), WireError::NoFileDescriptors));
     assert!(matches!(error_of(111), WireError::Connection(_)));
 }
--- a/crates/base/src/wire/cloud.rs
+++ b/crates/base/src/wire/cloud.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Path of the machine types: GET.
-pub const TYPES: &str = "/machine_types";
+pub const MACHINE_TYPES_PATH: &str = "/machine_types";
 /// Path of the machines: GET lists them, POST requests new ones.
 pub const MACHINES_PATH: &str = "/hosts";
 /// Path that terminates machines: POST.
--- a/crates/base/src/wire/mod.rs
+++ b/crates/base/src/wire/mod.rs
@@ -25,7 +25,7 @@
     Connection(String),
     /// This process has no file descriptor left: nothing was sent, and the state of the remote host is unknown.
     #[error("no socket to spare")]
-    Sockets,
+    NoFileDescriptors,
     /// Timeout; the request may have been carried out, or may still be carried out later.
     #[error("no answer in time")]
     Timeout,
--- a/crates/base/src/wire/server.rs
+++ b/crates/base/src/wire/server.rs
@@ -36,7 +36,7 @@
 
 impl Response {
     /// Creates a response with a CBOR body.
-    pub fn with<T: serde::Serialize>(status: u16, body: &T) -> Response {
+    pub fn with_body<T: serde::Serialize>(status: u16, body: &T) -> Response {
         Response {
             status,
             body: super::encode(body),
@@ -54,9 +54,9 @@
     }
 
     /// Creates an error response with a human-readable reason.
-    pub fn refusal(status: u16, reason: &str) -> Response {
+    pub fn error(status: u16, reason: &str) -> Response {
         let error = reason.to_string();
-        Response::with(status, &super::ErrorBody { error })
+        Response::with_body(status, &super::ErrorBody { error })
     }
 
     /// Creates the response for a transient error: the client may retry after `seconds`.
--- a/crates/base/src/wire/state.rs
+++ b/crates/base/src/wire/state.rs
@@ -108,7 +108,7 @@
 
 impl Transaction {
     /// Returns the number of written (`+`) and deleted (`-`) keys of each kind, for the log.
-    pub fn kinds(&self) -> String {
+    pub fn mutation_counts(&self) -> String {
         let mut counts: BTreeMap<(&str, &str), usize> = BTreeMap::new();
         for mutation in &self.mutations {
             let kind = mutation.key().split('/').nth(1).unwrap_or_default();
@@ -126,7 +126,7 @@
     }
 
     /// Returns the size of the largest value in bytes of JSON, the unit of the limit of the value size.
-    pub fn largest(&self) -> usize {
+    pub fn largest_value_bytes(&self) -> usize {
         let size = |mutation: &Mutation| match mutation {
             Mutation::Put { value, .. } => super::json_size(value),
             Mutation::Delete { .. } => 0,
@@ -221,12 +221,12 @@
 }
 
 /// Returns the path of one key: GET.
-pub fn key(key: &str) -> String {
+pub fn key_path(key: &str) -> String {
     format!("/keys/{key}")
 }
 
 /// Returns the path of a page of the keys under a prefix, starting after the key `after` if given: GET.
-pub fn list(prefix: &str, after: Option<&str>) -> String {
+pub fn list_path(prefix: &str, after: Option<&str>) -> String {
     match after {
         Some(after) => format!("/keys?under={prefix}&after={after}&most=500"),
         None => format!("/keys?under={prefix}&most=500"),
@@ -235,11 +235,11 @@
 
 /// Returns the path of a watch of a prefix: GET, which waits up to `wait_ms` milliseconds for events after a
 /// revision.
-pub fn watch(prefix: &str, after: u64, wait_ms: u64) -> String {
+pub fn watch_path(prefix: &str, after: u64, wait_ms: u64) -> String {
     format!("/watch?under={prefix}&after={after}&hold_ms={wait_ms}")
 }
 
 /// Returns the path that renews a lease: POST.
-pub fn renew(id: u64) -> String {
+pub fn lease_renewal_path(id: u64) -> String {
     format!("{LEASES_PATH}/{id}/touch")
 }
--- a/crates/base/src/wire/user.rs
+++ b/crates/base/src/wire/user.rs
@@ -141,14 +141,14 @@
 }
 
 /// Returns whether a job id is well formed: `req-` and up to 20 digits.
-pub fn valid_id(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("req-").is_some_and(|digits| {
         (1..=20).contains(&digits.len()) && digits.bytes().all(|byte| byte.is_ascii_digit())
     })
 }
 
 /// Returns the job id in a body that is not a valid submission, if the body contains one.
-pub fn id_in(body: &[u8]) -> Option<String> {
+pub fn job_id_in_body(body: &[u8]) -> Option<String> {
     #[derive(Deserialize)]
     struct OnlyId {
         /// Job id.
@@ -168,7 +168,7 @@
 }
 
 /// Parses a path under the job prefix.
-pub fn route(path: &str) -> Option<Route<'_>> {
+pub fn parse_path(path: &str) -> Option<Route<'_>> {
     let rest = path.strip_prefix("/api/jobs")?;
     if rest.is_empty() {
         return Some(Route::Submit);
--- a/src/autoscaler/reconciler.rs
+++ b/src/autoscaler/reconciler.rs
@@ -19,7 +19,7 @@
 use crate::ids::MachineId;
 use crate::scheduling::{self, SchedulableMachine, Schedule, SchedulingInput};
 use crate::store::cluster_state::ClusterState;
-use crate::time::{Micros, SECOND, wall};
+use crate::time::{Micros, SECOND, wall_clock_now};
 use crate::workers::WorkerState;
 use foldhash::{HashMap, HashMapExt, HashSet};
 use std::cell::RefCell;
@@ -155,7 +155,7 @@
     /// Makes a scaling decision on the current cluster state. `now` is the start time of this iteration.
     fn scaling_decision(&self, state: &mut LeaderState, now: Micros) -> ScalingDecision {
         let view = self.watch_cache.view();
-        let wall_clock = wall();
+        let wall_clock = wall_clock_now();
         let schedule = self.forecast(&view, true);
         state.idle_since.retain(|id, _| {
             view.machines
@@ -210,7 +210,7 @@
     /// which tasks stay unplaced once the booting machines are up, otherwise which tasks have no machine
     /// now.
     pub fn forecast(&self, view: &ClusterState, include_booting: bool) -> Schedule {
-        let wall_clock = wall();
+        let wall_clock = wall_clock_now();
         let late_machines = late_booting_machines(view, wall_clock, &|id| self.is_known_ready(id));
         scheduling::schedule(&SchedulingInput {
             view,
--- a/src/autoscaler/reconciler/garbage_collection.rs
+++ b/src/autoscaler/reconciler/garbage_collection.rs
@@ -69,7 +69,7 @@
     for machine in &request.machines {
         let record_key = keys::machine(machine);
         let version = view.version(&record_key);
-        if version > 0 && preconditions.len() < limits.preconditions() {
+        if version > 0 && preconditions.len() < limits.max_preconditions() {
             preconditions.push(Precondition {
                 version,
                 key: record_key,
@@ -78,8 +78,8 @@
             kept_machines.push(machine.clone());
         }
     }
-    let in_steps = request.machines.len() >= limits.preconditions();
-    let step_is_full = preconditions.len() == limits.preconditions();
+    let in_steps = request.machines.len() >= limits.max_preconditions();
+    let step_is_full = preconditions.len() == limits.max_preconditions();
     let mutation = if kept_machines.is_empty() {
         Mutation::Delete { key }
     } else if in_steps && step_is_full && kept_machines.len() < request.machines.len() {
--- a/src/autoscaler/reconciler/machine_list.rs
+++ b/src/autoscaler/reconciler/machine_list.rs
@@ -10,7 +10,7 @@
 use crate::ids::MachineId;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
-use crate::time::{Micros, SECOND, from_secs, wall};
+use crate::time::{Micros, SECOND, from_secs, wall_clock_now};
 use crate::wire::WireError;
 use crate::wire::cloud::{ListedMachine, ListedStatus, MACHINES_PATH, Page};
 use crate::wire::state::Transaction;
@@ -36,7 +36,7 @@
 impl Controller {
     /// Reads the machine list, adopts unknown machines and declares failed and missing machines lost.
     pub(super) async fn reconcile_with_machine_list(&self, state: &mut LeaderState) {
-        let requested_at = wall();
+        let requested_at = wall_clock_now();
         let list = match self.read_machine_list().await {
             Ok(list) => list,
             Err(error) => {
--- a/src/autoscaler/reconciler/machine_types.rs
+++ b/src/autoscaler/reconciler/machine_types.rs
@@ -3,7 +3,7 @@
 use super::CLOUD_REQUEST_TIMEOUT;
 use crate::controller::Controller;
 use crate::store::keys;
-use crate::wire::cloud::{MachineType, MachineTypes, TYPES};
+use crate::wire::cloud::{MACHINE_TYPES_PATH, MachineType, MachineTypes};
 use crate::wire::state::{Mutation, Transaction};
 use crate::wire::{encode, json_size, to_value};
 use http_types::Method;
@@ -16,7 +16,7 @@
             .call(
                 self.settings.cloud,
                 Method::Get,
-                TYPES,
+                MACHINE_TYPES_PATH,
                 None,
                 CLOUD_REQUEST_TIMEOUT,
             )
--- a/src/autoscaler/reconciler/scale_out_requests.rs
+++ b/src/autoscaler/reconciler/scale_out_requests.rs
@@ -7,7 +7,7 @@
 use crate::controller::Controller;
 use crate::store::client::TransactionOutcome;
 use crate::store::keys;
-use crate::time::{SECOND, wall};
+use crate::time::{SECOND, wall_clock_now};
 use crate::wire::cloud::{MACHINES_PATH, MachineNames, ProvisionRequest};
 use crate::wire::state::{Mutation, Precondition, Transaction};
 use crate::wire::{encode, to_value};
@@ -99,7 +99,7 @@
 
     /// Sends one request and writes the cloud's answer.
     async fn execute_scale_out_request(&self, name: &str, request: &ScaleOutRequest) {
-        let sent_at = wall();
+        let sent_at = wall_clock_now();
         let machines = match self.provision(name, request).await {
             ProvisionOutcome::Provisioned(machines) => machines,
             ProvisionOutcome::Refused => {
--- a/src/autoscaler/reconciler/terminations.rs
+++ b/src/autoscaler/reconciler/terminations.rs
@@ -10,7 +10,7 @@
 use crate::ids::MachineId;
 use crate::store::client::TransactionOutcome;
 use crate::store::keys;
-use crate::time::{SECOND, wall};
+use crate::time::{SECOND, wall_clock_now};
 use crate::wire::cloud::{MachineNames, TERMINATE_PATH};
 use crate::wire::state::{Mutation, Transaction};
 use crate::wire::{encode, to_value};
@@ -144,7 +144,7 @@
                 .map(|(name, batch)| (name.clone(), batch.clone()))
                 .collect()
         };
-        let wall_clock = wall();
+        let wall_clock = wall_clock_now();
         for (name, batch) in unanswered {
             for id in &batch.machines {
                 state.terminated_at.insert(id.to_string(), wall_clock);
@@ -214,7 +214,7 @@
         if ids.is_empty() {
             return;
         }
-        let wall_clock = wall();
+        let wall_clock = wall_clock_now();
         for id in &ids {
             state.terminated_at.insert(id.to_string(), wall_clock);
         }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -14,7 +14,7 @@
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
 use crate::store::watch_cache::WatchCache;
-use crate::time::{Clock, Micros, to_duration, wall};
+use crate::time::{Clock, Micros, to_duration, wall_clock_now};
 use crate::wire::client::Client;
 use crate::wire::server::{ConnectionGauge, Request, Response, serve};
 use crate::wire::{peer, worker};
@@ -111,8 +111,8 @@
             http.clone(),
             settings.state,
             clock,
-            settings.state_limits.rps * REQUEST_SHARE / controller_count,
-            settings.state_limits.write_rps * WRITE_SHARE / controller_count,
+            settings.state_limits.requests_per_s * REQUEST_SHARE / controller_count,
+            settings.state_limits.writes_per_s * WRITE_SHARE / controller_count,
         );
         Rc::new(Controller {
             settings,
@@ -246,7 +246,7 @@
         let mut reached = self.milestones.borrow_mut();
         if !reached.contains(&milestone) {
             reached.push(milestone);
-            let after_ms = self.clock.age() / crate::time::MILLI;
+            let after_ms = self.clock.elapsed() / crate::time::MILLISECOND;
             tracing::info!(?milestone, after_ms, "startup milestone reached");
         }
     }
@@ -302,7 +302,7 @@
             max_value_bytes: self.value_limit(),
             write_newer_layout,
             write_packed_blocks: write_newer_layout && self.settings.next_state_limits.is_some(),
-            wall_clock: wall(),
+            wall_clock: wall_clock_now(),
         }
     }
 }
--- a/src/fairness/rounds.rs
+++ b/src/fairness/rounds.rs
@@ -7,7 +7,7 @@
 use crate::controller::Controller;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
-use crate::time::wall;
+use crate::time::wall_clock_now;
 use crate::wire::state::{Mutation, Transaction};
 use crate::wire::to_value;
 use crate::wire::user::JobKind;
@@ -49,7 +49,7 @@
     /// Logs the classes and teams that newly miss their objectives.
     fn log_service_levels(&self) {
         let view = self.watch_cache.view();
-        let rows = service_level_rows(&view, &self.settings.objectives, wall());
+        let rows = service_level_rows(&view, &self.settings.objectives, wall_clock_now());
         tracing::debug!(?rows, "service levels computed");
         for (scope, started_share) in self
             .service_level_monitor
--- a/src/jobs/api/cancellation.rs
+++ b/src/jobs/api/cancellation.rs
@@ -8,17 +8,17 @@
 use crate::controller::Controller;
 use crate::store::client::TransactionOutcome;
 use crate::wire::server::Response;
-use crate::wire::user::valid_id;
+use crate::wire::user::is_valid_job_id;
 
 impl Controller {
     /// Handles a cancellation request. Idempotent: the answer for a finished job is its state.
     pub(super) async fn cancel(&self, id: &str) -> Response {
-        if !valid_id(id) {
+        if !is_valid_job_id(id) {
             return Response::status(404);
         }
         for _ in 0..MAX_TRANSACTIONS_PER_REQUEST {
             match self.job_state(id).await {
-                Ok(Some(state)) if is_final(&state) => return Response::with(200, &state),
+                Ok(Some(state)) if is_final(&state) => return Response::with_body(200, &state),
                 // The cancellation could not be confirmed after the write, so nothing is written.
                 Ok(Some(_)) if self.membership.confirmations_held(self.clock.now()) => {
                     return service_unavailable();
--- a/src/jobs/api/inspection.rs
+++ b/src/jobs/api/inspection.rs
@@ -8,7 +8,7 @@
 use crate::ids::MachineId;
 use crate::scheduling::pending_reason::{self, PendingReason, PendingStatus};
 use crate::store::cluster_state::{ClusterState, Job};
-use crate::time::wall;
+use crate::time::wall_clock_now;
 use crate::wire::server::Response;
 use crate::wire::worker::TaskStatus;
 use foldhash::{HashMap, HashSet};
@@ -24,27 +24,30 @@
     /// Handles an operator's request.
     pub fn handle_inspection_request(&self, path: &str) -> Response {
         if !self.watch_cache.loaded() {
-            return Response::refusal(
+            return Response::error(
                 503,
                 "the state service has not answered yet: this controller knows nothing",
             );
         }
         let view = self.watch_cache.view();
         match path {
-            "/inspect/members" => Response::with(200, &(&view.members, &view.leader)),
-            "/inspect/parts" => Response::with(200, &view.shards),
+            "/inspect/members" => Response::with_body(200, &(&view.members, &view.leader)),
+            "/inspect/parts" => Response::with_body(200, &view.shards),
             "/inspect/machines" => inspect_machines(&view),
-            "/inspect/layout" => Response::with(200, &(&view.versions, &view.layout)),
+            "/inspect/layout" => Response::with_body(200, &(&view.versions, &view.layout)),
             "/inspect/pipelines" => inspect_pipelines(&view),
             "/inspect/served" => {
-                let rows = service_level_rows(&view, &self.settings.objectives, wall());
-                Response::with(200, &rows)
+                let rows = service_level_rows(&view, &self.settings.objectives, wall_clock_now());
+                Response::with_body(200, &rows)
             }
             JOBS_PATH => {
                 let reasons = self.pending_reasons(&view);
-                Response::with(200, &pending_reason::count_pending(&view, wall(), &reasons))
+                Response::with_body(
+                    200,
+                    &pending_reason::count_pending(&view, wall_clock_now(), &reasons),
+                )
             }
-            "/inspect/fairness" => Response::with(200, &(&view.counts, &view.priority_boosts)),
+            "/inspect/fairness" => Response::with_body(200, &(&view.counts, &view.priority_boosts)),
             _ => match path
                 .strip_prefix(JOBS_PATH)
                 .and_then(|rest| rest.strip_prefix('/'))
@@ -59,7 +62,7 @@
     fn inspect_job(&self, view: &ClusterState, id: &JobId) -> Response {
         let Some(job) = view.jobs.get(id) else {
             let reason = "not among the unfinished jobs; see coppergw show";
-            return Response::refusal(404, reason);
+            return Response::error(404, reason);
         };
         let reason = self.pending_reasons(view)(id, job);
         let dependencies: Vec<&str> = match reason {
@@ -68,7 +71,7 @@
             }
             _ => Vec::new(),
         };
-        Response::with(200, &(job_answer(view, id), reason, dependencies))
+        Response::with_body(200, &(job_answer(view, id), reason, dependencies))
     }
 
     /// Returns a function that gives the reason why a job is pending. Task failures and image fetches are
@@ -117,7 +120,7 @@
             (&**id, (record, task_count))
         })
         .collect();
-    Response::with(200, &machines)
+    Response::with_body(200, &machines)
 }
 
 /// Returns the unfinished jobs that have dependencies.
@@ -132,5 +135,5 @@
         })
         .take(MAX_SHOWN_PIPELINES)
         .collect();
-    Response::with(200, &jobs)
+    Response::with_body(200, &jobs)
 }
--- a/src/jobs/api/job_state.rs
+++ b/src/jobs/api/job_state.rs
@@ -6,7 +6,7 @@
 use super::{StateUnavailable, service_unavailable};
 use crate::controller::Controller;
 use crate::wire::server::Response;
-use crate::wire::user::{JobAnswer, Status, valid_id};
+use crate::wire::user::{JobAnswer, Status, is_valid_job_id};
 
 /// Returns whether the state of a job is final, which means that it never changes again.
 pub(super) fn is_final(answer: &JobAnswer) -> bool {
@@ -16,11 +16,11 @@
 impl Controller {
     /// Handles a request for a job's state.
     pub(super) async fn handle_job_state_request(&self, id: &str) -> Response {
-        if !valid_id(id) {
+        if !is_valid_job_id(id) {
             return Response::status(404);
         }
         match self.job_state(id).await {
-            Ok(Some(state)) => Response::with(200, &state),
+            Ok(Some(state)) => Response::with_body(200, &state),
             Ok(None) => Response::status(404),
             Err(StateUnavailable) => service_unavailable(),
         }
--- a/src/jobs/api/mod.rs
+++ b/src/jobs/api/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::controller::Controller;
 use crate::wire::server::{Request, Response};
-use crate::wire::user::{Route, route};
+use crate::wire::user::{Route, parse_path};
 use http_types::Method;
 
 /// `Retry-After` for temporary errors, in seconds: the smallest value that the header can express.
@@ -37,10 +37,10 @@
 impl Controller {
     /// Dispatches a user's request to its handler.
     pub async fn handle_user_request(&self, request: Request) -> Response {
-        match (route(&request.path), request.method) {
+        match (parse_path(&request.path), request.method) {
             (Some(Route::Submit), Method::Post) => match request.body {
                 Some(body) => self.submit(&body).await,
-                None => Response::refusal(400, "the body is cut short or larger than 64 KiB"),
+                None => Response::error(400, "the body is cut short or larger than 64 KiB"),
             },
             (Some(Route::Job(id)), Method::Get) => self.handle_job_state_request(id).await,
             (Some(Route::Cancel(id)), Method::Post) => self.cancel(id).await,
--- a/src/jobs/api/submission.rs
+++ b/src/jobs/api/submission.rs
@@ -8,11 +8,11 @@
 use crate::controller::Controller;
 use crate::store::client::TransactionOutcome;
 use crate::store::keys;
-use crate::time::{Micros, SECOND, wall};
+use crate::time::{Micros, SECOND, wall_clock_now};
 use crate::wire::decode;
 use crate::wire::server::Response;
 use crate::wire::state::Transaction;
-use crate::wire::user::{JobAnswer, Status, Submission, id_in, valid_id};
+use crate::wire::user::{JobAnswer, Status, Submission, is_valid_job_id, job_id_in_body};
 
 /// Longest wait for the write budget of the state service; a submission that would have to wait longer is
 /// answered with status 429.
@@ -74,7 +74,7 @@
         let submission: Submission = match decode(body) {
             Ok(submission) => submission,
             Err(error) => {
-                let id = id_in(body).unwrap_or_default();
+                let id = job_id_in_body(body).unwrap_or_default();
                 let error = SubmissionError::Malformed(error.to_string());
                 return self.reject(&id, error).await;
             }
@@ -88,9 +88,9 @@
                     running: 0,
                     dependencies: Vec::new(),
                 };
-                Response::with(201, &state)
+                Response::with_body(201, &state)
             }
-            Ok(Acceptance::Existing(state)) => Response::with(200, &state),
+            Ok(Acceptance::Existing(state)) => Response::with_body(200, &state),
             Err(error) => self.reject(&submission.id, error).await,
         }
     }
@@ -105,18 +105,18 @@
             SubmissionError::Inadmissible(AdmissionError::Infeasible(_)) => 422,
             SubmissionError::TooLarge => {
                 tracing::debug!(id, %error, "submission rejected");
-                return Response::refusal(400, &error.to_string());
+                return Response::error(400, &error.to_string());
             }
             SubmissionError::Overloaded => return Response::retry_later(429, RETRY_AFTER_S),
             SubmissionError::Unavailable => return service_unavailable(),
         };
         tracing::debug!(id, status, %error, "submission rejected");
-        let rejection = Response::refusal(status, &error.to_string());
-        if !valid_id(id) {
+        let rejection = Response::error(status, &error.to_string());
+        if !is_valid_job_id(id) {
             return rejection;
         }
         match self.job_state(id).await {
-            Ok(Some(state)) => Response::with(200, &state),
+            Ok(Some(state)) => Response::with_body(200, &state),
             Ok(None) => rejection,
             Err(StateUnavailable) => service_unavailable(),
         }
@@ -161,7 +161,7 @@
             submission,
             &self.settings,
             &view.machine_types,
-            wall(),
+            wall_clock_now(),
         )?)
     }
 
@@ -276,7 +276,7 @@
 fn check_ids(submission: &Submission) -> Result<(), SubmissionError> {
     let dependencies = submission.dependencies.iter().flatten();
     let mut ids = dependencies.chain([&submission.id]);
-    match ids.find(|id| !valid_id(id)) {
+    match ids.find(|id| !is_valid_job_id(id)) {
         Some(id) => Err(SubmissionError::Malformed(format!("no job id: {id:.40}"))),
         None => Ok(()),
     }
--- a/src/jobs/model/admission.rs
+++ b/src/jobs/model/admission.rs
@@ -2,10 +2,10 @@
 //! malformed or can never run.
 
 use super::{Dependencies, JobSpec, MAX_TASKS, Resources};
-use crate::settings::{Settings, Team, milli};
+use crate::settings::{Settings, Team, to_thousandths};
 use crate::time::{Micros, from_secs};
 use crate::wire::cloud::MachineType;
-use crate::wire::user::{JobKind, Submission, valid_id};
+use crate::wire::user::{JobKind, Submission, is_valid_job_id};
 use std::collections::BTreeMap;
 
 /// Difference below which two amounts are equal: decimal fractions are inexact in floating point.
@@ -70,7 +70,7 @@
         task_count: submission.task_count,
         resources: amounts.resources,
         image: submission.image.clone(),
-        image_size: milli(amounts.image_gb),
+        image_size: to_thousandths(amounts.image_gb),
         machine_types,
         zone: submission.zone.clone(),
         single_zone: submission.single_zone,
@@ -88,7 +88,7 @@
 
 /// Checks the format of the id, the number of tasks and the lengths of the names.
 fn check_names(submission: &Submission) -> Result<(), AdmissionError> {
-    if !valid_id(&submission.id) {
+    if !is_valid_job_id(&submission.id) {
         return Err(AdmissionError::Malformed("id"));
     }
     if submission.task_count == 0 || submission.task_count > MAX_TASKS {
@@ -110,9 +110,9 @@
 impl CheckedAmounts {
     fn from_submission(submission: &Submission) -> Result<CheckedAmounts, AdmissionError> {
         let resources = Resources {
-            cpus: milli(check_range(submission.cpus, MAX_CPUS_OR_GPUS, "CPUs")?),
-            gpus: milli(check_range(submission.gpus, MAX_CPUS_OR_GPUS, "GPUs")?),
-            memory: milli(check_range(submission.memory_gb, MAX_SIZE_GB, "memory")?),
+            cpus: to_thousandths(check_range(submission.cpus, MAX_CPUS_OR_GPUS, "CPUs")?),
+            gpus: to_thousandths(check_range(submission.gpus, MAX_CPUS_OR_GPUS, "GPUs")?),
+            memory: to_thousandths(check_range(submission.memory_gb, MAX_SIZE_GB, "memory")?),
         };
         let image_gb = check_range(submission.image_gb, MAX_SIZE_GB, "image size")?;
         let seconds = |amount: f64, field| check_range(amount, MAX_DURATION_S, field);
--- a/src/membership/cancellation_watermark.rs
+++ b/src/membership/cancellation_watermark.rs
@@ -20,7 +20,7 @@
 use crate::store::cluster_state::ClusterState;
 use crate::time::{Micros, SECOND};
 use crate::wire::peer::{CancellationDigest, PeerHeartbeat};
-use crate::wire::user::valid_id;
+use crate::wire::user::is_valid_job_id;
 use foldhash::HashMap;
 
 /// Time for which a controller that cannot reach the state service confirms no cancellation. Longer than a
@@ -102,7 +102,8 @@
 
 /// Returns whether a digest is a valid response to a request for the cancellations after a revision.
 fn is_valid_response(digest: &CancellationDigest, after_revision: u64) -> bool {
-    let is_valid = |(id, revision): &(String, u64)| valid_id(id) && *revision > after_revision;
+    let is_valid =
+        |(id, revision): &(String, u64)| is_valid_job_id(id) && *revision > after_revision;
     digest.after == after_revision && digest.cancelled.iter().all(is_valid)
 }
 
--- a/src/membership/leader_election.rs
+++ b/src/membership/leader_election.rs
@@ -8,7 +8,7 @@
 use crate::store::client::TransactionOutcome;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
-use crate::time::{Micros, wall};
+use crate::time::{Micros, wall_clock_now};
 use crate::wire::state::{Mutation, Transaction};
 use crate::wire::to_value;
 use std::collections::BTreeMap;
@@ -80,7 +80,7 @@
             };
             let view = self.watch_cache.view();
             let live_members = self.membership.peers.live_members(&view.members);
-            match leader_status(&view, &live_members, incarnation, wall()) {
+            match leader_status(&view, &live_members, incarnation, wall_clock_now()) {
                 LeaderStatus::Leading => return true,
                 LeaderStatus::Following => return false,
                 LeaderStatus::NoLeader(claim) => claim,
--- a/src/membership/lease_renewal.rs
+++ b/src/membership/lease_renewal.rs
@@ -14,7 +14,7 @@
 use crate::store::client::TransactionOutcome;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
-use crate::time::{Micros, SECOND, wall};
+use crate::time::{Micros, SECOND, wall_clock_now};
 use crate::wire::state::{Mutation, Transaction};
 use crate::wire::to_value;
 use foldhash::HashSet;
@@ -154,7 +154,7 @@
                 previous,
                 granted,
                 LAYOUT_VERSION,
-                wall(),
+                wall_clock_now(),
             ));
             return LeaseAttempt::Held;
         };
--- a/src/membership/peer_heartbeats.rs
+++ b/src/membership/peer_heartbeats.rs
@@ -164,7 +164,7 @@
             view: &self.watch_cache.view(),
             view_loaded: self.watch_cache.was_loaded(),
             state_service_reachable,
-            process_age: self.clock.age(),
+            process_age: self.clock.elapsed(),
             max_entries: MAX_DIGEST_ENTRIES,
         };
         cancellation_digest(&inputs, request)
--- a/src/membership/shard_ownership.rs
+++ b/src/membership/shard_ownership.rs
@@ -9,7 +9,7 @@
 use crate::store::client::TransactionOutcome;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
-use crate::time::{MILLI, Micros, SECOND, wall};
+use crate::time::{MILLISECOND, Micros, SECOND, wall_clock_now};
 use crate::wire::state::{Mutation, Precondition, Transaction};
 use crate::wire::to_value;
 use foldhash::HashSet;
@@ -22,9 +22,9 @@
 /// Maximum interval between checks of the assignment, which also changes with time alone.
 const MAX_CHECK_INTERVAL: Micros = SECOND / 3;
 /// Delay after a change of the view, so that changes in quick succession are processed together.
-const CHANGE_DEBOUNCE_DELAY: Micros = 50 * MILLI;
+const CHANGE_DEBOUNCE_DELAY: Micros = 50 * MILLISECOND;
 /// Delay after a failed write: other controllers claim shards at the same moment.
-const RETRY_DELAY: Micros = 100 * MILLI;
+const RETRY_DELAY: Micros = 100 * MILLISECOND;
 
 /// Inputs of the decision which shards to claim.
 pub struct ShardClaim<'a> {
@@ -148,7 +148,7 @@
             view: &view,
             live_members: &self.membership.peers.live_members(&view.members),
             incarnation,
-            now: wall(),
+            now: wall_clock_now(),
             max_mutations,
         };
         claim_shards(&claim, &mut pending_term_increments)
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -15,7 +15,7 @@
 use crate::membership::SHARD_COUNT;
 use crate::store::client::TransactionOutcome;
 use crate::store::cluster_state::ClusterState;
-use crate::time::{MILLI, Micros, SECOND};
+use crate::time::{MILLISECOND, Micros, SECOND};
 use crate::workers::{self, WorkerState};
 use decide::{BOOKKEEPING_RESERVE_SHARE, PlanRequest, ReconcileInput, WriteBudget, WriteSchedule};
 use foldhash::HashSet;
@@ -25,7 +25,7 @@
 use std::rc::Rc;
 
 /// Minimum pause between two passes.
-const MIN_PASS_PAUSE: Micros = 40 * MILLI;
+const MIN_PASS_PAUSE: Micros = 40 * MILLISECOND;
 /// Minimum ratio of the pause to the duration of the pass before it, so that heartbeats and user requests
 /// are answered while passes are long.
 const MIN_PAUSE_TO_PASS_RATIO: u64 = 4;
@@ -177,8 +177,8 @@
         let alive = view.members.len().clamp(1, self.settings.peers.len() + 1) as f64;
         let limits = self.state_limits();
         self.watch_cache.client().set_rate_limits(
-            limits.rps * REQUEST_SHARE / alive,
-            limits.write_rps * WRITE_SHARE / alive,
+            limits.requests_per_s * REQUEST_SHARE / alive,
+            limits.writes_per_s * WRITE_SHARE / alive,
         );
     }
 
--- a/src/reconciliation/planning.rs
+++ b/src/reconciliation/planning.rs
@@ -10,7 +10,7 @@
 use crate::membership::shard_of;
 use crate::scheduling::{self, SchedulableMachine, SchedulingInput, WriteLimit};
 use crate::store::cluster_state::{ClusterState, Job};
-use crate::time::{Micros, SECOND, wall};
+use crate::time::{Micros, SECOND, wall_clock_now};
 use crate::wire::user::JobKind;
 use crate::workers::{self, WorkerState};
 use std::cell::OnceCell;
@@ -58,7 +58,7 @@
         let has_transaction_in_flight = |id: &JobId| in_flight.contains(id);
         scheduling::schedule(&SchedulingInput {
             view,
-            wall_clock: wall(),
+            wall_clock: wall_clock_now(),
             teams: &self.settings.teams,
             objectives: &self.settings.objectives,
             schedulable_machine: &schedulable,
@@ -165,7 +165,7 @@
         if owns(self.terms, id) || job.spec.kind == JobKind::Gang {
             return false;
         }
-        wall().saturating_sub(job.waiting_since) < self.takeover_delay(id, job)
+        wall_clock_now().saturating_sub(job.waiting_since) < self.takeover_delay(id, job)
     }
 
     /// Returns the time for which another controller's job waits before this controller places its tasks.
--- a/src/scheduling/queue.rs
+++ b/src/scheduling/queue.rs
@@ -234,7 +234,7 @@
         .objectives
         .iter()
         .filter(|o| o.kind == ObjectiveKind::Deadline)
-        .map(|o| o.times)
+        .map(|o| o.deadline_thousandths)
         .max()
         .unwrap_or(1000);
     let extension = job.deadline_after_submission / 1000 * thousandths.saturating_sub(1000);
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -2,7 +2,7 @@
 //! requests and writes. The client is stateless apart from this budget: it caches nothing that it reads.
 
 use super::token_bucket::TokenBucket;
-use crate::time::{Clock, MILLI, Micros, SECOND, to_duration};
+use crate::time::{Clock, MILLISECOND, Micros, SECOND, to_duration};
 use crate::wire::client::{Client, ClientResponse};
 use crate::wire::state::{self, Lease, LeaseRequest, Page, Revision, Transaction, WatchResponse};
 use crate::wire::{WireError, decode, encode};
@@ -145,7 +145,10 @@
     pub async fn transaction(&self, transaction: &Transaction) -> TransactionOutcome {
         self.wait_for_budget(transaction.mutations.len()).await;
         if tracing::enabled!(tracing::Level::DEBUG) {
-            tracing::debug!(mutations = transaction.kinds(), "transaction sent");
+            tracing::debug!(
+                mutations = transaction.mutation_counts(),
+                "transaction sent"
+            );
         }
         let body = Some(encode(transaction));
         let call = self.call(
@@ -170,7 +173,7 @@
         let mut revisions = RevisionRange::EMPTY;
         loop {
             self.wait_for_budget(0).await;
-            let path = state::list(prefix, after.as_deref());
+            let path = state::list_path(prefix, after.as_deref());
             let call = self.call(Method::Get, &path, None, LIST_PAGE_TIMEOUT);
             let page: Page = call.await?.ok()?;
             revisions = revisions.union(RevisionRange {
@@ -190,7 +193,7 @@
     /// Reads one key. Returns `None` if it does not exist.
     pub async fn get(&self, key: &str, timeout: Micros) -> Result<Option<state::Item>, WireError> {
         self.wait_for_budget(0).await;
-        let path = state::key(key);
+        let path = state::key_path(key);
         let response = self.call(Method::Get, &path, None, timeout).await?;
         match response.status {
             200 => Ok(Some(decode(&response.body)?)),
@@ -213,7 +216,7 @@
         wait: Micros,
     ) -> Result<WatchResponse, WireError> {
         self.wait_for_budget(0).await;
-        let path = state::watch(prefix, after, wait / MILLI);
+        let path = state::watch_path(prefix, after, wait / MILLISECOND);
         let timeout = if wait == 0 {
             LINEARIZABLE_READ_TIMEOUT
         } else {
@@ -225,7 +228,7 @@
     /// Grants a new lease and returns its id.
     pub async fn lease(&self, time_to_live: Micros) -> Result<u64, WireError> {
         let body = encode(&LeaseRequest {
-            ttl_ms: time_to_live / MILLI,
+            ttl_ms: time_to_live / MILLISECOND,
         });
         let call = self.call(Method::Post, state::LEASES_PATH, Some(body), LEASE_TIMEOUT);
         Ok(call.await?.ok::<Lease>()?.id)
@@ -233,7 +236,7 @@
 
     /// Renews a lease. Returns false if it has expired.
     pub async fn renew(&self, id: u64) -> Result<bool, WireError> {
-        let path = state::renew(id);
+        let path = state::lease_renewal_path(id);
         let call = self.call(Method::Post, &path, Some(Vec::new()), LEASE_TIMEOUT);
         match call.await?.status {
             200 => Ok(true),
@@ -275,7 +278,7 @@
         first = transaction.mutations.first().map(state::Mutation::key),
         mutations = transaction.mutations.len(),
         preconditions = transaction.preconditions.len(),
-        largest_value_bytes = transaction.largest(),
+        largest_value_bytes = transaction.largest_value_bytes(),
         reason = reason.replace('\n', " "),
         "state service rejected a transaction as malformed"
     );
--- a/src/store/token_bucket.rs
+++ b/src/store/token_bucket.rs
@@ -1,7 +1,7 @@
 //! Token bucket that limits requests and writes to the state service to this controller's share of the
 //! service's rate limits.
 
-use crate::time::{MILLI, Micros};
+use crate::time::{MILLISECOND, Micros};
 
 /// Token bucket with a refill rate and a burst size of one second's refill, at least one token.
 pub(super) struct TokenBucket {
@@ -49,7 +49,7 @@
         if self.tokens >= 0.0 {
             0
         } else {
-            (-self.tokens / self.tokens_per_s * 1e6) as Micros + MILLI
+            (-self.tokens / self.tokens_per_s * 1e6) as Micros + MILLISECOND
         }
     }
 
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -19,7 +19,7 @@
 use super::cluster_state::ClusterState;
 use super::keys;
 use crate::ids::MachineId;
-use crate::time::{Clock, MILLI, Micros, SECOND, to_duration};
+use crate::time::{Clock, MILLISECOND, Micros, SECOND, to_duration};
 use crate::wire::WireError;
 use crate::wire::state::{Event, Mutation, Transaction, WatchResponse};
 use async_io::Timer;
@@ -27,12 +27,12 @@
 use std::cell::{Cell, Ref, RefCell};
 
 /// Pause between two watch requests. Without it, every write would cost each controller one request.
-const WATCH_PAUSE: Micros = 40 * MILLI;
+const WATCH_PAUSE: Micros = 40 * MILLISECOND;
 /// Time that a watch waits for changes before it returns an empty response.
 const WATCH_WAIT_TIME: Micros = SECOND;
 /// Time since the last linearizable read during which the watch is suspended. Frequent linearizable reads
 /// deliver every change, so that a concurrent watch would transfer each change twice.
-const WATCH_SUSPENSION_TIME: Micros = 80 * MILLI;
+const WATCH_SUSPENSION_TIME: Micros = 80 * MILLISECOND;
 /// Interval at which a suspended watch checks whether the linearizable reads have stopped.
 const SUSPENDED_WATCH_POLL_INTERVAL: Micros = WATCH_PAUSE / 2;
 /// Estimated age of a watch response on arrival. Used only for `current`, never for `complete_up_to`.
--- a/src/store/watch_cache/linearizable_read.rs
+++ b/src/store/watch_cache/linearizable_read.rs
@@ -3,11 +3,11 @@
 
 use super::{LOG_COMPACTED_STATUS, ReadTimes, WatchCache, sleep};
 use crate::store::keys;
-use crate::time::{MILLI, Micros};
+use crate::time::{MILLISECOND, Micros};
 use crate::wire::WireError;
 
 /// Pause between two linearizable reads. All callers that arrive during the pause share the next read.
-const LINEARIZABLE_READ_PAUSE: Micros = 40 * MILLI;
+const LINEARIZABLE_READ_PAUSE: Micros = 40 * MILLISECOND;
 
 impl WatchCache {
     /// Waits for a read that started after the call, so that everything committed before the call is in the
--- a/src/workers/command_dispatch.rs
+++ b/src/workers/command_dispatch.rs
@@ -90,7 +90,7 @@
             None => machines.keys().cloned().collect(),
         };
         let max_calls = self.settings.max_connections / MAX_CALLS_CONNECTION_DIVISOR;
-        let mut calls_left = max_calls.saturating_sub(self.http.used());
+        let mut calls_left = max_calls.saturating_sub(self.http.calls_in_progress());
         for id in &ids {
             let Some(worker) = machines.get_mut(id) else {
                 continue;
@@ -247,7 +247,7 @@
                 self.record_task_outcomes(&call.machine, outcome, now);
                 needs_check
             }
-            Err(WireError::Sockets) => {
+            Err(WireError::NoFileDescriptors) => {
                 // Nothing was sent because no socket was available, so the failure is not the
                 // machine's.
                 worker.acknowledge_direct_commands(&call.commands);
@@ -263,7 +263,7 @@
                 self.workers.record_probe_failure(worker, now);
                 worker.record_missed_probe(call.latest_contact, now);
                 drop(machines);
-                self.http.forget(call.address);
+                self.http.close_idle_connections(call.address);
                 true
             }
         }
--- a/src/workers/heartbeat_handler.rs
+++ b/src/workers/heartbeat_handler.rs
@@ -76,7 +76,7 @@
             self.workers.changed.borrow_mut().insert(machine);
             self.watch_cache.notifier().notify();
         }
-        Response::with(
+        Response::with_body(
             200,
             &CommandBatch {
                 fencing_token: term,
@@ -132,7 +132,7 @@
         };
         self.workers
             .record_redirect(&heartbeat.machine, target, now);
-        Response::with(
+        Response::with_body(
             421,
             &LeaderRedirect {
                 report_to: Some(target.to_string()),
--- a/src/workers/machine_records.rs
+++ b/src/workers/machine_records.rs
@@ -19,7 +19,7 @@
 use crate::store::client::TransactionOutcome;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
-use crate::time::{Micros, SECOND, wall};
+use crate::time::{Micros, SECOND, wall_clock_now};
 use crate::wire::state::Transaction;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -261,7 +261,7 @@
             address: Some(description.address),
             session: worker.session,
             state: MachineState::Up,
-            provisioned_at: wall(),
+            provisioned_at: wall_clock_now(),
         })
     }
 
--- a/src/workers/probing.rs
+++ b/src/workers/probing.rs
@@ -83,7 +83,7 @@
         let settings = &self.settings;
         let interval = probe_interval_for(
             machine_count,
-            settings.core_share,
+            settings.cpu_share,
             settings.heartbeat_interval,
         );
         self.workers.probe_interval.set(interval);
@@ -97,10 +97,10 @@
 
 /// Returns the time without contact after which machines with replicas are probed, for this number of
 /// such machines. The probes divide the time between two heartbeats evenly; their number is limited by
-/// the processor time reserved for probes. `core_share` is the share of a core that this controller
+/// the processor time reserved for probes. `cpu_share` is the share of a CPU that this controller
 /// has; 0 means unknown and is treated as a whole core.
-fn probe_interval_for(machine_count: usize, core_share: f64, heartbeat_interval: Micros) -> Micros {
-    let share = if core_share > 0.0 { core_share } else { 1.0 };
+fn probe_interval_for(machine_count: usize, cpu_share: f64, heartbeat_interval: Micros) -> Micros {
+    let share = if cpu_share > 0.0 { cpu_share } else { 1.0 };
     let probes_per_interval =
         share * PROBES_PER_CORE_SECOND * to_secs(heartbeat_interval) / machine_count.max(1) as f64;
     (heartbeat_interval / (probes_per_interval as u64 + 1)).max(MIN_PROBE_INTERVAL)
--- a/src/workers/registry.rs
+++ b/src/workers/registry.rs
@@ -167,7 +167,7 @@
                     || view.tasks_on(id).is_some()
                     || worker.time_since_contact(now) < UNLISTED_MACHINE_RETENTION);
             if let Some(address) = worker.identity.address.filter(|_| !keep) {
-                self.http.forget(address);
+                self.http.close_idle_connections(address);
             }
             keep
         });
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -6,7 +6,7 @@
 use coppergw::jobs::model::{AdmissionError, validate};
 use coppergw::settings::Settings;
 use coppergw::wire::cloud::MachineType;
-use coppergw::wire::user::{Submission, id_in, valid_id};
+use coppergw::wire::user::{Submission, is_valid_job_id, job_id_in_body};
 use coppergw::wire::{decode, encode};
 use proptest::prelude::*;
 use serde_json::{Value, json};
@@ -279,7 +279,7 @@
         body["id"] = json!(format!("req-{number}"));
         let field = body.as_object().expect("a map").keys().nth(missing).expect("a field").clone();
         body.as_object_mut().expect("a map").remove(&field);
-        let id = id_in(&encode(&body));
-        prop_assert_eq!(id.is_some_and(|id| valid_id(&id)), field != "id");
+        let id = job_id_in_body(&encode(&body));
+        prop_assert_eq!(id.is_some_and(|id| is_valid_job_id(&id)), field != "id");
     }
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -10,7 +10,7 @@
 use coppergw::wire::cloud::MachineType;
 use coppergw::wire::peer::{PeerHeartbeat, pack, unpack};
 use coppergw::wire::state::{Page, Revision, WatchResponse};
-use coppergw::wire::user::{JobAnswer, JobKind, Priority, Submission, route, valid_id};
+use coppergw::wire::user::{JobAnswer, JobKind, Priority, Submission, is_valid_job_id, parse_path};
 use coppergw::wire::worker::{Command, CommandBatch, ExitReason, Heartbeat};
 use coppergw::wire::{cloud, decode, encode, from_value, to_value};
 use proptest::prelude::*;
@@ -226,7 +226,7 @@
         let _ = unpack::<PeerHeartbeat>(&bytes);
         if let Ok(text) = std::str::from_utf8(&bytes) {
             let _ = Settings::parse("x", text);
-            let _ = route(text);
+            let _ = parse_path(text);
         }
     }
 
@@ -258,6 +258,6 @@
     fn job_ids_have_one_form(id in "(req-)?[0-9a-z/ ]{0,24}") {
         let digits = id.strip_prefix("req-").unwrap_or("x");
         let valid = !digits.is_empty() && digits.len() <= 20 && digits.bytes().all(|b| b.is_ascii_digit());
-        prop_assert_eq!(valid_id(&id), valid);
+        prop_assert_eq!(is_valid_job_id(&id), valid);
     }
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -323,16 +323,16 @@
         worker::HEARTBEAT_PATH.into(),
         worker::COMMANDS_PATH.into(),
         worker::STATUS_PATH.into(),
-        cloud::TYPES.into(),
+        cloud::MACHINE_TYPES_PATH.into(),
         cloud::MACHINES_PATH.into(),
         cloud::TERMINATE_PATH.into(),
         state::TRANSACTION_PATH.into(),
         state::LEASES_PATH.into(),
-        state::key(keys::LEADER),
-        state::list("c/job/", None),
-        state::list("c/job/", Some("c/job/req-000412")),
-        state::watch(keys::ROOT_PREFIX, 120, 2500),
-        state::renew(77),
+        state::key_path(keys::LEADER),
+        state::list_path("c/job/", None),
+        state::list_path("c/job/", Some("c/job/req-000412")),
+        state::watch_path(keys::ROOT_PREFIX, 120, 2500),
+        state::lease_renewal_path(77),
     ];
     let listed = golden.text("paths.txt");
     assert_eq!(listed.lines().collect::<Vec<_>>(), paths);
@@ -377,7 +377,7 @@
     let objectives: Vec<_> = parsed
         .objectives
         .iter()
-        .map(|o| (o.kind, &*o.class, o.within, o.share, o.times))
+        .map(|o| (o.kind, &*o.class, o.within, o.share, o.deadline_thousandths))
         .collect();
     assert_eq!(
         objectives,
@@ -389,27 +389,27 @@
     );
     assert_eq!(parsed.heartbeat_interval, 3_100_000);
     assert_eq!(parsed.worker_lease, 18_200_000);
-    assert_eq!(parsed.gang_wait, 40_300_000);
-    assert_eq!(parsed.gang_peer, 5_400_000);
+    assert_eq!(parsed.gang_wait_timeout, 40_300_000);
+    assert_eq!(parsed.gang_loss_notice, 5_400_000);
     assert_eq!(parsed.cancel_within, 48_500_000);
     let limits = StateLimits {
-        rps: 200.5,
-        write_rps: 40.25,
+        requests_per_s: 200.5,
+        writes_per_s: 40.25,
         max_value_bytes: 32_768,
         max_mutations: 16,
     };
     assert_eq!(parsed.state_limits, limits);
     let next = StateLimits {
-        rps: 100.5,
-        write_rps: 20.25,
+        requests_per_s: 100.5,
+        writes_per_s: 20.25,
         max_value_bytes: 2_048,
         max_mutations: 8,
     };
     assert_eq!(parsed.next_state_limits, Some(next));
-    assert_eq!(parsed.cloud_rps, 6.5);
+    assert_eq!(parsed.cloud_requests_per_s, 6.5);
     assert_eq!(parsed.list_lag, 6_600_000);
     assert_eq!(parsed.max_connections, 2500);
-    assert_eq!(parsed.core_share, 0.75);
+    assert_eq!(parsed.cpu_share, 0.75);
     assert_eq!(parsed.memory_mb, 512.5);
 }
 
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -115,9 +115,9 @@
             transaction.preconditions.len()
         );
         assert!(
-            transaction.largest() <= max_value_bytes,
+            transaction.largest_value_bytes() <= max_value_bytes,
             "a value of {} bytes",
-            transaction.largest()
+            transaction.largest_value_bytes()
         );
         assert!(json_size(transaction) <= 64 * 1024);
     }
@@ -621,7 +621,7 @@
                     .swap_remove(usize::from(second) % self.delayed.len());
                 if self.store.limits == INITIAL_LIMITS {
                     self.apply_and_check(&transaction);
-                } else if transaction.largest() <= LOWERED_LIMITS.0
+                } else if transaction.largest_value_bytes() <= LOWERED_LIMITS.0
                     && transaction.mutations.len() <= LOWERED_LIMITS.1
                 {
                     // The state service rejects a larger one after its limits were lowered.
@@ -863,8 +863,8 @@
 #[test]
 fn a_scale_out_request_shrinks_in_steps() {
     let limits = coppergw::settings::StateLimits {
-        rps: 1.0,
-        write_rps: 1.0,
+        requests_per_s: 1.0,
+        writes_per_s: 1.0,
         max_value_bytes: 2048,
         max_mutations: 5,
     };
@@ -898,7 +898,7 @@
         let Some(transaction) = close_scale_out_request(&view, limits) else {
             break;
         };
-        assert!(transaction.preconditions.len() <= limits.preconditions());
+        assert!(transaction.preconditions.len() <= limits.max_preconditions());
         match &transaction.mutations[0] {
             Mutation::Put {
                 key: written_key,
