--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -360,13 +360,13 @@
 /// of its class, or the default for its priority.
 fn drain_horizon(forecast: &CapacityForecast<'_>, spec: &JobSpec) -> Micros {
     let policy = forecast.policy;
-    let wait_share = match spec.kind {
-        JobKind::Gang => policy.gang_wait_share,
-        _ => policy.wait_share,
+    let start_drain_share = match spec.kind {
+        JobKind::Gang => policy.gang_start_drain_share,
+        _ => policy.start_drain_share,
     };
     let default = match spec.priority {
-        Priority::Low => policy.drain_low,
-        _ => policy.drain_normal,
+        Priority::Low => policy.low_drain_time,
+        _ => policy.normal_drain_time,
     };
     forecast
         .objectives
@@ -374,9 +374,9 @@
         .filter(|objective| objective.class == spec.class)
         .filter_map(|objective| match objective.kind {
             ObjectiveKind::Finished => {
-                Some((objective.within as f64 * policy.finish_share) as Micros)
+                Some((objective.within as f64 * policy.completion_drain_share) as Micros)
             }
-            ObjectiveKind::Wait => Some((objective.within as f64 * wait_share) as Micros),
+            ObjectiveKind::Wait => Some((objective.within as f64 * start_drain_share) as Micros),
             ObjectiveKind::Deadline => None,
         })
         .min()
--- a/src/autoscaler/reconciler.rs
+++ b/src/autoscaler/reconciler.rs
@@ -102,7 +102,7 @@
     async fn run_leader_iteration(self: &Rc<Controller>, state: &mut LeaderState) {
         let now = self.clock.now();
         self.refresh_from_cloud(state, now).await;
-        if now.saturating_sub(state.fairness_round_at) >= self.policy.fairness_round {
+        if now.saturating_sub(state.fairness_round_at) >= self.policy.fairness_interval {
             state.fairness_round_at = now;
             if tracing::enabled!(tracing::Level::DEBUG) {
                 let view = self.watch_cache.view();
@@ -190,7 +190,7 @@
 
     /// Writes the state changes and requests of a decision.
     async fn write_decision(&self, decision: ScalingDecision) {
-        if self.limits().write_newer_layout {
+        if self.transaction_limits().write_newer_layout {
             self.write_termination_batches(&decision.scale_in).await;
         } else {
             self.write_machine_states(&decision.scale_in, MachineState::Returning)
@@ -255,7 +255,8 @@
     /// sequence number.
     fn next_cloud_request_name(&self) -> String {
         let lease = self.membership.lease().unwrap_or(0);
-        self.cloud_request_state.next_request_name(self.me(), lease)
+        self.cloud_request_state
+            .next_request_name(self.node_name(), lease)
     }
 }
 
--- a/src/autoscaler/reconciler/machine_types.rs
+++ b/src/autoscaler/reconciler/machine_types.rs
@@ -41,7 +41,7 @@
             return;
         }
         let max_mutations = self.state_limits().max_mutations;
-        let mutations = match json_size(&offered) > self.value_limit() {
+        let mutations = match json_size(&offered) > self.max_value_bytes() {
             true => changed_types(&stored, &offered),
             false => vec![Mutation::Put {
                 key: keys::MACHINE_TYPES.into(),
--- a/src/autoscaler/reconciler/scale_out_requests.rs
+++ b/src/autoscaler/reconciler/scale_out_requests.rs
@@ -37,8 +37,10 @@
 impl Controller {
     /// Returns the number of machines whose names fit into one stored scale-out request or termination batch.
     pub fn max_machines_per_request(&self) -> usize {
-        let names =
-            self.value_limit().saturating_sub(REQUEST_OVERHEAD_BYTES) / MAX_MACHINE_NAME_BYTES;
+        let names = self
+            .max_value_bytes()
+            .saturating_sub(REQUEST_OVERHEAD_BYTES)
+            / MAX_MACHINE_NAME_BYTES;
         names.clamp(1, MAX_MACHINES_PER_REQUEST)
     }
 
--- a/src/autoscaler/reconciler/terminations.rs
+++ b/src/autoscaler/reconciler/terminations.rs
@@ -63,7 +63,7 @@
         if state == MachineState::Up {
             return machines;
         }
-        let minimum = match self.limits().write_packed_blocks {
+        let minimum = match self.transaction_limits().write_packed_blocks {
             true => MIN_MACHINES_MARKED_PACKED,
             false => MIN_MACHINES_MARKED,
         };
--- a/src/autoscaler/scale_in.rs
+++ b/src/autoscaler/scale_in.rs
@@ -241,7 +241,7 @@
         };
         let total = Resources::of_machine(machine_type);
         let idle_time_exceeded = forecast.idle_since.get(id).is_some_and(|since| {
-            forecast.wall_clock.saturating_sub(*since) > forecast.policy.idle_return
+            forecast.wall_clock.saturating_sub(*since) > forecast.policy.idle_timeout
         });
         if already_released.contains(id)
             || !is_idle(forecast, id, record, &total)
--- a/src/autoscaler/service_reserve.rs
+++ b/src/autoscaler/service_reserve.rs
@@ -30,7 +30,7 @@
         total += spec.resources.cpus * i64::from(job.placed + startable);
         largest = largest.max(spec.resources.cpus * i64::from(spec.task_count));
     }
-    ((total as f64 * forecast.policy.service_spare) as i64).max(largest)
+    ((total as f64 * forecast.policy.service_reserve_share) as i64).max(largest)
 }
 
 /// Returns the available CPUs: free on machines of the reserve, or used there by preemptible arrays.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -257,7 +257,7 @@
     }
 
     /// Returns the name of this controller.
-    pub fn me(&self) -> &str {
+    pub fn node_name(&self) -> &str {
         &self.settings.node
     }
 
@@ -266,7 +266,8 @@
     /// writes of earlier owners.
     pub fn term(&self, view: &ClusterState, shard: u32) -> Option<u64> {
         let record = view.shards.get(&shard)?;
-        let is_owner = record.owner == self.me() && self.membership.was_lease_granted(record.lease);
+        let is_owner =
+            record.owner == self.node_name() && self.membership.was_lease_granted(record.lease);
         (is_owner
             && self.watch_cache.loaded()
             && view.revision >= view.version(&keys::shard(shard)))
@@ -286,20 +287,20 @@
     }
 
     /// Returns the maximum size of a written value in bytes of JSON, less a reserve.
-    pub fn value_limit(&self) -> usize {
+    pub fn max_value_bytes(&self) -> usize {
         self.state_limits()
             .max_value_bytes
             .saturating_sub(VALUE_RESERVE_BYTES)
     }
 
     /// Returns the limits of written transactions.
-    pub fn limits(&self) -> TransactionLimits {
+    pub fn transaction_limits(&self) -> TransactionLimits {
         let write_newer_layout = self.watch_cache.view().layout.is_some();
         TransactionLimits {
             max_mutations: self.state_limits().max_mutations,
             max_merged_mutations: (self.watch_cache.client().write_budget().1 / 2.0) as usize,
             max_bytes: MAX_TRANSACTION_BYTES,
-            max_value_bytes: self.value_limit(),
+            max_value_bytes: self.max_value_bytes(),
             write_newer_layout,
             write_packed_blocks: write_newer_layout && self.settings.next_state_limits.is_some(),
             wall_clock: wall_clock_now(),
--- a/src/fairness/rounds.rs
+++ b/src/fairness/rounds.rs
@@ -27,7 +27,7 @@
             let jobs = job_activities(&view);
             let threshold = self.policy.fairness_threshold;
             let mut boosts: PriorityBoosts = update_boosts(&jobs, threshold, &view.priority_boosts);
-            boosts.jobs = truncate_to_size(boosts.jobs, self.value_limit(), &|_, boost| {
+            boosts.jobs = truncate_to_size(boosts.jobs, self.max_value_bytes(), &|_, boost| {
                 (boost.level, boost.tasks)
             });
             if boosts == view.priority_boosts {
@@ -79,7 +79,7 @@
                 return;
             }
             let ends = view.recent_job_ends().cloned();
-            let next = levels.with_job_ends(ends, view.revision, self.value_limit());
+            let next = levels.with_job_ends(ends, view.revision, self.max_value_bytes());
             Transaction {
                 preconditions: vec![view.precondition(keys::SERVICE_LEVELS)],
                 mutations: vec![Mutation::Put {
--- a/src/fairness/task_counts.rs
+++ b/src/fairness/task_counts.rs
@@ -45,7 +45,7 @@
     pub async fn task_counts_loop(self: Rc<Controller>) {
         let mut written = TaskCounts::default();
         loop {
-            self.sleep(self.policy.fairness_round).await;
+            self.sleep(self.policy.fairness_interval).await;
             if !self.watch_cache.loaded() || !self.watch_cache.is_current() {
                 continue;
             }
@@ -54,7 +54,7 @@
                 let view = self.watch_cache.view();
                 let queued = |id: &str| view.jobs.get(id).map_or(0, |job| job.queued());
                 counts.jobs =
-                    truncate_to_size(counts.jobs, self.value_limit(), &|id, _| queued(id));
+                    truncate_to_size(counts.jobs, self.max_value_bytes(), &|id, _| queued(id));
             }
             if counts == written {
                 continue;
@@ -62,7 +62,7 @@
             let transaction = Transaction {
                 preconditions: Vec::new(),
                 mutations: vec![Mutation::Put {
-                    key: keys::counts(self.me()),
+                    key: keys::counts(self.node_name()),
                     value: to_value(&counts),
                     lease: None,
                 }],
--- a/src/jobs/api/cancellation.rs
+++ b/src/jobs/api/cancellation.rs
@@ -27,7 +27,11 @@
                 Ok(None) => return Response::status(404),
                 Err(StateUnavailable) => return service_unavailable(),
             }
-            let transaction = cancel(&self.watch_cache.view(), &JobId::from(id), self.limits());
+            let transaction = cancel(
+                &self.watch_cache.view(),
+                &JobId::from(id),
+                self.transaction_limits(),
+            );
             let Some(transaction) = transaction else {
                 continue;
             };
--- a/src/jobs/api/submission.rs
+++ b/src/jobs/api/submission.rs
@@ -224,8 +224,12 @@
     ) -> Result<Acceptance, SubmissionError> {
         let id = &submission.id;
         for _ in 0..MAX_TRANSACTIONS_PER_REQUEST {
-            let transactions =
-                accept_submission(&self.watch_cache.view(), id, spec.clone(), self.limits());
+            let transactions = accept_submission(
+                &self.watch_cache.view(),
+                id,
+                spec.clone(),
+                self.transaction_limits(),
+            );
             let transactions = transactions.ok_or(SubmissionError::TooLarge)?;
             match self.send_transactions(id, transactions).await? {
                 WriteOutcome::Created => {
--- a/src/membership/layout_agreement.rs
+++ b/src/membership/layout_agreement.rs
@@ -60,7 +60,7 @@
         if view.layout.is_some() {
             return None;
         }
-        let own_name = self.me();
+        let own_name = self.node_name();
         let peer_names = self.settings.peers.iter().map(|peer| peer.name.as_str());
         let recorded = view.versions.get(own_name);
         let mut transaction = Transaction::default();
--- a/src/membership/lease_renewal.rs
+++ b/src/membership/lease_renewal.rs
@@ -149,7 +149,7 @@
             };
             self.membership.lease.set(Some(granted));
             let view = self.watch_cache.view();
-            let previous = view.members.get(self.me());
+            let previous = view.members.get(self.node_name());
             *desired = Some(Member::new_incarnation(
                 previous,
                 granted,
@@ -197,7 +197,7 @@
     /// Returns this process as an incarnation, while it considers its lease valid.
     pub(super) fn incarnation(&self) -> Option<Incarnation<'_>> {
         let lease = self.membership.lease()?;
-        let node = self.me();
+        let node = self.node_name();
         Some(Incarnation { node, lease })
     }
 }
--- a/src/membership/peer_heartbeats.rs
+++ b/src/membership/peer_heartbeats.rs
@@ -143,7 +143,7 @@
         digest: Option<CancellationDigest>,
     ) -> PeerHeartbeat {
         PeerHeartbeat {
-            node: self.me().to_string(),
+            node: self.node_name().to_string(),
             state_service_reachable,
             unreachable: self.membership.peers.unreachable(),
             returned_redirects,
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -13,28 +13,28 @@
     /// Unfairness above which pending tasks receive a priority boost (paper, section 2).
     pub fairness_threshold: f64,
     /// Interval of the fairness rounds.
-    pub fairness_round: Micros,
+    pub fairness_interval: Micros,
     /// Time to live of a controller's membership lease.
     pub member_ttl: Micros,
     /// Time without a heartbeat after which a machine is declared dead.
-    pub lost_after: Micros,
+    pub heartbeat_timeout: Micros,
     /// Capacity reserved for services, as a share of the capacity that services use.
-    pub service_spare: f64,
+    pub service_reserve_share: f64,
     /// Whether spot machines are requested.
     pub use_spot: bool,
     /// Idle time after which a machine is terminated.
-    pub idle_return: Micros,
+    pub idle_timeout: Micros,
     /// Target time to drain the backlog of jobs of normal priority.
-    pub drain_normal: Micros,
+    pub normal_drain_time: Micros,
     /// Target time to drain the backlog of jobs of low priority.
-    pub drain_low: Micros,
+    pub low_drain_time: Micros,
     /// Target time to drain the backlog of a job class, as a share of the time of its objective for completion.
-    pub finish_share: f64,
+    pub completion_drain_share: f64,
     /// Target time to drain the backlog of a job class, as a share of the time of its objective for task starts.
-    pub wait_share: f64,
+    pub start_drain_share: f64,
     /// Target time to drain the backlog of gangs of a job class, as a share of the time of its objective for task
     /// starts.
-    pub gang_wait_share: f64,
+    pub gang_start_drain_share: f64,
     /// Maximum number of machines; by default only the cloud's capacity limits it.
     pub max_machines: u64,
 }
@@ -43,17 +43,17 @@
     fn default() -> Policy {
         Policy {
             fairness_threshold: 0.2,
-            fairness_round: 5 * SECOND,
+            fairness_interval: 5 * SECOND,
             member_ttl: 3 * SECOND,
-            lost_after: 5 * SECOND,
-            service_spare: 0.08,
+            heartbeat_timeout: 5 * SECOND,
+            service_reserve_share: 0.08,
             use_spot: true,
-            idle_return: 12 * SECOND,
-            drain_normal: 45 * SECOND,
-            drain_low: 90 * SECOND,
-            finish_share: 0.5,
-            wait_share: 0.6,
-            gang_wait_share: 0.75,
+            idle_timeout: 12 * SECOND,
+            normal_drain_time: 45 * SECOND,
+            low_drain_time: 90 * SECOND,
+            completion_drain_share: 0.5,
+            start_drain_share: 0.6,
+            gang_start_drain_share: 0.75,
             max_machines: u64::MAX,
         }
     }
@@ -106,16 +106,16 @@
     fn set(&mut self, tunable: &Tunable) -> Result<(), SettingsError> {
         match tunable.name {
             "fairness_threshold" => self.fairness_threshold = tunable.number(0.01..=1.0)?,
-            "fairness_round_s" => self.fairness_round = tunable.seconds(1.0..=600.0)?,
+            "fairness_round_s" => self.fairness_interval = tunable.seconds(1.0..=600.0)?,
             "member_ttl_s" => self.member_ttl = tunable.seconds(1.0..=60.0)?,
-            "lost_after_s" => self.lost_after = tunable.seconds(4.0..=600.0)?,
-            "service_spare" => self.service_spare = tunable.number(0.0..=10.0)?,
-            "idle_return_s" => self.idle_return = tunable.seconds(0.0..=MAX_TIME_S)?,
-            "drain_normal_s" => self.drain_normal = tunable.seconds(1.0..=MAX_TIME_S)?,
-            "drain_low_s" => self.drain_low = tunable.seconds(1.0..=MAX_TIME_S)?,
-            "finish_share" => self.finish_share = tunable.number(0.01..=10.0)?,
-            "wait_share" => self.wait_share = tunable.number(0.01..=10.0)?,
-            "gang_wait_share" => self.gang_wait_share = tunable.number(0.01..=10.0)?,
+            "lost_after_s" => self.heartbeat_timeout = tunable.seconds(4.0..=600.0)?,
+            "service_spare" => self.service_reserve_share = tunable.number(0.0..=10.0)?,
+            "idle_return_s" => self.idle_timeout = tunable.seconds(0.0..=MAX_TIME_S)?,
+            "drain_normal_s" => self.normal_drain_time = tunable.seconds(1.0..=MAX_TIME_S)?,
+            "drain_low_s" => self.low_drain_time = tunable.seconds(1.0..=MAX_TIME_S)?,
+            "finish_share" => self.completion_drain_share = tunable.number(0.01..=10.0)?,
+            "wait_share" => self.start_drain_share = tunable.number(0.01..=10.0)?,
+            "gang_wait_share" => self.gang_start_drain_share = tunable.number(0.01..=10.0)?,
             "max_machines" => self.max_machines = tunable.number(0.0..=100_000.0)? as u64,
             "use_spot" => self.use_spot = tunable.boolean()?,
             _ => return Err(tunable.error("is not a setting of the policy")),
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -246,7 +246,7 @@
             ended_attempts: &reconciler.ended_attempts.borrow(),
             jobs_in_flight: &reconciler.jobs_in_flight.borrow(),
             write_budget: self.write_budget(),
-            limits: self.limits(),
+            limits: self.transaction_limits(),
             has_team_limit: &has_team_limit,
             plan: &plan,
             now: scope.now,
@@ -315,7 +315,7 @@
     /// Deletes remaining keys of ended jobs.
     pub async fn delete_keys_of_ended_jobs(&self) {
         loop {
-            let transaction = collect_garbage(&self.watch_cache.view(), self.limits());
+            let transaction = collect_garbage(&self.watch_cache.view(), self.transaction_limits());
             let Some(transaction) = transaction else {
                 return;
             };
--- a/src/workers/heartbeat_handler.rs
+++ b/src/workers/heartbeat_handler.rs
@@ -127,7 +127,8 @@
         heartbeat: &Heartbeat,
         now: Micros,
     ) -> Response {
-        let Some(target) = redirect_target(view, self.me(), shard, heartbeat.fencing_token) else {
+        let Some(target) = redirect_target(view, self.node_name(), shard, heartbeat.fencing_token)
+        else {
             return Response::status(503);
         };
         self.workers
--- a/src/workers/liveness.rs
+++ b/src/workers/liveness.rs
@@ -29,7 +29,7 @@
 pub struct LivenessCheck {
     /// Half of the time without contact after which a machine is declared dead even if missed probes
     /// have not confirmed it.
-    pub lost_after: Micros,
+    pub heartbeat_timeout: Micros,
     /// Current time.
     pub now: Micros,
     /// Whether this controller is unreachable for workers ([`isolated`]).
@@ -53,12 +53,12 @@
 
     /// Returns whether to declare the machine dead, so that it is terminated with all its tasks. It is
     /// dead if two calls went unanswered with another machine in contact in between, or if there was no
-    /// contact for longer than `2 * lost_after` and this controller is not isolated. One missed call is
+    /// contact for longer than `2 * heartbeat_timeout` and this controller is not isolated. One missed call is
     /// not enough: when a partition begins, each machine misses a call before the isolation is
     /// detected.
-    pub fn declared_dead(&self, lost_after: Micros, now: Micros, isolated: bool) -> bool {
+    pub fn declared_dead(&self, heartbeat_timeout: Micros, now: Micros, isolated: bool) -> bool {
         let time_since_contact = self.time_since_contact(now);
-        self.probes.confirmed_dead || (time_since_contact > 2 * lost_after && !isolated)
+        self.probes.confirmed_dead || (time_since_contact > 2 * heartbeat_timeout && !isolated)
     }
 
     /// Returns whether the machine's record should be set to lost. A booting machine is exempt unless
@@ -67,7 +67,7 @@
     /// until the lease expires.
     pub fn lost(&self, state: MachineState, has_tasks: bool, check: LivenessCheck) -> bool {
         (state != MachineState::Booting || has_tasks)
-            && self.declared_dead(check.lost_after, check.now, check.isolated)
+            && self.declared_dead(check.heartbeat_timeout, check.now, check.isolated)
     }
 
     /// Returns whether the worker's lease must have expired, counted from its last possible renewal. No
--- a/src/workers/machine_records.rs
+++ b/src/workers/machine_records.rs
@@ -154,7 +154,7 @@
             let number = self.workers.dead_declaration_count.get() + 1;
             self.workers.dead_declaration_count.set(number);
             let lease = self.membership.lease().unwrap_or(0);
-            let name = format!("{}-{lease}-lost-{number}", self.me());
+            let name = format!("{}-{lease}-lost-{number}", self.node_name());
             let ids = writes.declared_dead;
             let transaction = declare_dead(&self.watch_cache.view(), &name, ids.clone());
             self.commit_record_writes(transaction, ids);
@@ -174,7 +174,7 @@
             isolated,
             widespread_partition: widespread_inbound_partitions(&machines),
             max_declared_dead: self
-                .limits()
+                .transaction_limits()
                 .write_newer_layout
                 .then(|| self.max_machines_per_request()),
             max_up_write_delay: max_up_write_delay(&view, &machines),
@@ -218,7 +218,7 @@
         }
         let has_tasks = self.watch_cache.view().tasks_on(id).is_some();
         let check = LivenessCheck {
-            lost_after: self.policy.lost_after,
+            heartbeat_timeout: self.policy.heartbeat_timeout,
             now,
             isolated: round.isolated,
         };
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -212,7 +212,7 @@
     let worker = WorkerState::new(5, 100 * SECOND);
     let lost = |state, has_tasks, now| {
         let check = LivenessCheck {
-            lost_after: 5 * SECOND,
+            heartbeat_timeout: 5 * SECOND,
             now,
             isolated: false,
         };
