--- a/src/controller.rs
+++ b/src/controller.rs
@@ -45,7 +45,7 @@
     pub membership: Membership,
     /// Workers on the machines of the shards that this controller owns.
     pub workers: WorkerRegistry,
-    /// Machine types and zones for which the cloud recently refused scale-out requests.
+    /// Recently refused instance kinds, and the sequence number of requests to the cloud.
     pub cloud_request_state: CloudRequestState,
     /// State of the reconciliation loop.
     pub reconciler: Reconciler,
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -42,7 +42,7 @@
 const MIN_INTERVAL_TO_SWEEP_RATIO: u64 = 12;
 /// Interval at which overdue heartbeats are checked and machine records written.
 const HEARTBEAT_CHECK_INTERVAL: Micros = SECOND / 5;
-/// Time for which the jobs of a refused transaction stay in flight, so that it is not retried at once.
+/// Time for which the jobs of a rejected transaction stay in flight, so that it is not retried at once.
 const REFUSAL_RETRY_DELAY: Micros = SECOND / 8;
 /// Share of the state service's request limit that the live controllers divide evenly. The rest covers
 /// requests that this budget does not count (lease renewals) and clock skew.
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -35,7 +35,7 @@
 const WATCH_SUSPENSION_TIME: Micros = 80 * MILLISECOND;
 /// Interval at which a suspended watch checks whether the linearizable reads have stopped.
 const SUSPENDED_WATCH_POLL_INTERVAL: Micros = WATCH_PAUSE / 2;
-/// Estimated age of a watch response on arrival. Used only for `current`, never for `complete_up_to`.
+/// Estimated age of a watch response on arrival. Used only for `is_current`, never for `complete_up_to`.
 const ESTIMATED_WATCH_RESPONSE_AGE: Micros = SECOND / 2;
 /// Time without a successful read after which this controller is considered disconnected from the state
 /// service.
--- a/tests/concurrent_failures/main.rs
+++ b/tests/concurrent_failures/main.rs
@@ -57,7 +57,7 @@
             Event::SendPeerRequest { node, to } => world.send_peer_request(node, to),
             Event::ExchangeAnswer { node } => {
                 world.answer_peer_request(node, 0);
-                world.receive_answer(node, 0);
+                world.receive_response(node, 0);
             }
             Event::Restart { node } => world.restart(node),
             Event::Heartbeats => world.send_heartbeats(),
@@ -213,7 +213,7 @@
         world.answer_peer_request(node, 0);
         let response = world.controllers[node].peer_requests[0].response.clone();
         let digest = response.and_then(|response| response.digest);
-        world.receive_answer(node, 0);
+        world.receive_response(node, 0);
         digest.expect("loaded").cancelled.len()
     };
     assert_eq!(cancelled(&mut world, 2, 0), 0);
--- a/tests/concurrent_failures/world.rs
+++ b/tests/concurrent_failures/world.rs
@@ -286,7 +286,7 @@
     }
 
     /// Delivers the response to a request.
-    pub(crate) fn receive_answer(&mut self, node: usize, index: usize) {
+    pub(crate) fn receive_response(&mut self, node: usize, index: usize) {
         let responded_at = self.now;
         let controller = &mut self.controllers[node];
         let count = controller.peer_requests.len().max(1);
@@ -369,7 +369,7 @@
             10 => self.query_status(node, task),
             11..=13 if node != to => self.send_peer_request(node, to),
             14..=16 => self.answer_peer_request(node, argument as usize),
-            17..=19 => self.receive_answer(node, argument as usize),
+            17..=19 => self.receive_response(node, argument as usize),
             20..=23 => self.advance(u64::from(argument) * SECOND / 64),
             _ => self.send_heartbeats(),
         }
@@ -384,7 +384,7 @@
                 self.send_peer_request(node, to);
                 let last = self.controllers[node].peer_requests.len() - 1;
                 self.answer_peer_request(node, last);
-                self.receive_answer(node, last);
+                self.receive_response(node, last);
             }
             self.begin_read(node);
             self.end_read(node);
--- a/tests/partitioned_machines.rs
+++ b/tests/partitioned_machines.rs
@@ -217,7 +217,7 @@
     /// While many machines are partitioned, the cause is not in the machines: none is drained or replaced for it, and
     /// tasks are still placed on them, since no machine is better suited.
     #[test]
-    fn many_partitioned_machines_are_left_unchanged(machine_count in 2usize..60, partitioned_percent in 0usize..=100) {
+    fn widespread_partition_leaves_machines_unchanged(machine_count in 2usize..60, partitioned_percent in 0usize..=100) {
         let partitioned = machine_count * partitioned_percent / 100;
         let mut machines: BTreeMap<MachineId, WorkerState> = BTreeMap::new();
         for index in 0..machine_count {
