--- a/benches/growth.rs
+++ b/benches/growth.rs
@@ -87,7 +87,10 @@
 
 /// Returns the keys and values in the state service.
 fn stored_values(machine_count: usize, empty_count: usize) -> Vec<(String, ciborium::Value)> {
-    let mut values = vec![(keys::TYPES.to_string(), to_value(&vec![machine_type()]))];
+    let mut values = vec![(
+        keys::MACHINE_TYPES.to_string(),
+        to_value(&vec![machine_type()]),
+    )];
     for index in 0..machine_count {
         let machine = MachineRecord {
             machine_type: "t".into(),
@@ -96,7 +99,7 @@
             address: Some("10.0.0.1:9000".into()),
             session: 1,
             state: MachineState::Up,
-            rented_at: 0,
+            provisioned_at: 0,
         };
         values.push((keys::machine(&machine_name(index)), to_value(&machine)));
     }
@@ -111,7 +114,7 @@
                         .as_str()
                         .into(),
                     session: 1,
-                    stop: None,
+                    stop_grace_period: None,
                 })
             })
             .collect();
@@ -160,8 +163,8 @@
         wall_clock: SECOND,
         teams: &[],
         objectives: &[],
-        schedulable: &schedulable,
-        freed: &HashMap::default(),
+        schedulable_machine: &schedulable,
+        released_resources: &HashMap::default(),
         in_backoff: &never,
         owns_job: &always,
         owns_machine: &always,
@@ -202,10 +205,10 @@
             objectives: &[],
             teams: &[],
             wall_clock: 100 * SECOND,
-            refused: &|_, _, _| false,
+            recently_refused: &|_, _, _| false,
             idle_since: &idle_since,
-            machines_per_request: 50,
-            known_up: &|_| false,
+            max_machines_per_request: 50,
+            is_known_ready: &|_| false,
         });
         decision.scale_out.len() + decision.scale_in.len() + decision.cordon.len()
     });
@@ -224,13 +227,12 @@
             continue;
         };
         // Every twentieth task is done: one on each machine.
-        let tasks =
-            job.slots().map(
-                |(task_index, task)| match task_index as usize % TASKS_PER_MACHINE {
-                    0 => TaskState::Done,
-                    _ => task.clone(),
-                },
-            );
+        let tasks = job.task_states().map(|(task_index, task)| {
+            match task_index as usize % TASKS_PER_MACHINE {
+                0 => TaskState::Done,
+                _ => task.clone(),
+            }
+        });
         let record = JobRecord((*job.spec).clone(), TaskBlock(tasks.collect()));
         revision += 1;
         cluster.put(&keys::job(&id), &to_value(&record), revision);
@@ -326,7 +328,7 @@
             attempt: 1,
             machine: machine_name(machine_count - 1 - index % 50).as_str().into(),
             session: 1,
-            stop: None,
+            stop_grace_period: None,
         })
     };
     let block = TaskBlock((0..TASKS_PER_JOB).map(placed).collect());
--- a/src/autoscaler/demand.rs
+++ b/src/autoscaler/demand.rs
@@ -106,7 +106,7 @@
         zones.sort_unstable();
         zones.dedup();
         let zone_count = zones.len();
-        scheduling::retain_open_zones(view, self.job, &mut zones);
+        scheduling::retain_allowed_zones(view, self.job, &mut zones);
         (zones.len() < zone_count).then_some(zones)
     }
 
@@ -133,7 +133,7 @@
     let view = forecast.view;
     let unplaced: HashMap<&str, u32> = forecast
         .schedule
-        .unplaced
+        .unplaced_tasks
         .iter()
         .map(|(id, tasks)| (&**id, *tasks))
         .collect();
@@ -157,7 +157,12 @@
         } else if spec.allow_spot && !scheduling::may_use_spot(job.job) {
             demand.add_on_demand_gang(forecast, &job);
         } else {
-            let starved = forecast.schedule.starved.get(id).copied().unwrap_or(0);
+            let starved = forecast
+                .schedule
+                .starved_tasks
+                .get(id)
+                .copied()
+                .unwrap_or(0);
             let team_use = service_use.get(&*spec.team).copied().unwrap_or_default();
             demand.add_batch(forecast, &job, starved, &team_use);
         }
@@ -191,8 +196,8 @@
     let view = forecast.view;
     let spec: &JobSpec = &job.spec;
     // The next steps of a pipeline count as soon as the preceding steps are about to end.
-    let queued = view.queued_or_blocked(job);
-    let within_quota = queued.saturating_sub(forecast.schedule.limited(id));
+    let queued = view.queued_or_soon_ready(job);
+    let within_quota = queued.saturating_sub(forecast.schedule.quota_limited_count(id));
     let placed_service = spec.kind == JobKind::Service && unplaced == 0;
     if queued + job.placed == 0 || job.cancelled() || placed_service {
         return None;
@@ -306,9 +311,11 @@
             priority: spec.priority,
             horizon_s,
             work_s: job.work_s(),
-            quota: quota::at_once(forecast.teams, spec, team_use).map(|tasks| QuotaLimit {
-                team: &spec.team,
-                machines: tasks as f64 / job.tasks_per_machine,
+            quota: quota::max_concurrent_tasks(forecast.teams, spec, team_use).map(|tasks| {
+                QuotaLimit {
+                    team: &spec.team,
+                    machines: tasks as f64 / job.tasks_per_machine,
+                }
             }),
         });
         if job.unplaced > 0 && waited > OVERDUE_WAIT_TIME {
@@ -353,13 +360,13 @@
 /// of its class, or the default for its priority.
 fn drain_horizon(forecast: &CapacityForecast<'_>, spec: &JobSpec) -> Micros {
     let policy = forecast.policy;
-    let wait_share = match spec.kind {
-        JobKind::Gang => policy.gang_wait_share,
-        _ => policy.wait_share,
+    let start_drain_share = match spec.kind {
+        JobKind::Gang => policy.gang_start_drain_share,
+        _ => policy.start_drain_share,
     };
     let default = match spec.priority {
-        Priority::Low => policy.drain_low,
-        _ => policy.drain_normal,
+        Priority::Low => policy.low_drain_time,
+        _ => policy.normal_drain_time,
     };
     forecast
         .objectives
@@ -367,9 +374,9 @@
         .filter(|objective| objective.class == spec.class)
         .filter_map(|objective| match objective.kind {
             ObjectiveKind::Finished => {
-                Some((objective.within as f64 * policy.finish_share) as Micros)
+                Some((objective.within as f64 * policy.completion_drain_share) as Micros)
             }
-            ObjectiveKind::Wait => Some((objective.within as f64 * wait_share) as Micros),
+            ObjectiveKind::Wait => Some((objective.within as f64 * start_drain_share) as Micros),
             ObjectiveKind::Deadline => None,
         })
         .min()
--- a/src/autoscaler/reconciler.rs
+++ b/src/autoscaler/reconciler.rs
@@ -10,16 +10,16 @@
 mod scale_out_requests;
 mod terminations;
 
-pub use garbage_collection::{forget_gone, shrink_scale_out_request};
-pub use provisioning_errors::ProvisioningErrors;
+pub use garbage_collection::{close_scale_out_request, delete_terminated_records};
+pub use provisioning_errors::CloudRequestState;
 
 use super::model::MachineState;
-use super::{CapacityForecast, ScalingDecision, decide, not_expected};
+use super::{CapacityForecast, ScalingDecision, decide, late_booting_machines};
 use crate::controller::Controller;
 use crate::ids::MachineId;
 use crate::scheduling::{self, SchedulableMachine, Schedule, SchedulingInput};
 use crate::store::cluster_state::ClusterState;
-use crate::time::{Micros, SECOND, wall};
+use crate::time::{Micros, SECOND, wall_clock_now};
 use crate::workers::WorkerState;
 use foldhash::{HashMap, HashMapExt, HashSet};
 use std::cell::RefCell;
@@ -87,7 +87,7 @@
         let mut state = LeaderState::new(self.clock.now());
         loop {
             self.sleep(LOOP_INTERVAL).await;
-            if !self.watch_cache.loaded() || !self.watch_cache.current() {
+            if !self.watch_cache.loaded() || !self.watch_cache.is_current() {
                 continue;
             }
             if !self.acquire_leadership().await {
@@ -102,7 +102,7 @@
     async fn run_leader_iteration(self: &Rc<Controller>, state: &mut LeaderState) {
         let now = self.clock.now();
         self.refresh_from_cloud(state, now).await;
-        if now.saturating_sub(state.fairness_round_at) >= self.policy.fairness_round {
+        if now.saturating_sub(state.fairness_round_at) >= self.policy.fairness_interval {
             state.fairness_round_at = now;
             if tracing::enabled!(tracing::Level::DEBUG) {
                 let view = self.watch_cache.view();
@@ -139,7 +139,7 @@
         if now.saturating_sub(state.machine_list_read_at) > list_interval {
             state.machine_list_read_at = now;
             self.reconcile_with_machine_list(state).await;
-            self.clean().await;
+            self.delete_keys_of_ended_jobs().await;
             self.close_scale_out_requests().await;
             self.delete_terminated_machines().await;
         }
@@ -155,7 +155,7 @@
     /// Makes a scaling decision on the current cluster state. `now` is the start time of this iteration.
     fn scaling_decision(&self, state: &mut LeaderState, now: Micros) -> ScalingDecision {
         let view = self.watch_cache.view();
-        let wall_clock = wall();
+        let wall_clock = wall_clock_now();
         let schedule = self.forecast(&view, true);
         state.idle_since.retain(|id, _| {
             view.machines
@@ -176,21 +176,21 @@
             objectives: &self.settings.objectives,
             teams: &self.settings.teams,
             wall_clock,
-            refused: &|machine_type, zone, spot| {
-                self.provisioning_errors
+            recently_refused: &|machine_type, zone, spot| {
+                self.cloud_request_state
                     .recently_refused(machine_type, zone, spot, now)
             },
             idle_since: &state.idle_since,
-            machines_per_request: self.machines_per_request(),
+            max_machines_per_request: self.max_machines_per_request(),
             // A new leader has not yet received the owners' peer heartbeats, so no machine times out until
             // then.
-            known_up: &|id| heartbeats_incomplete || self.is_known_ready(id),
+            is_known_ready: &|id| heartbeats_incomplete || self.is_known_ready(id),
         })
     }
 
     /// Writes the state changes and requests of a decision.
     async fn write_decision(&self, decision: ScalingDecision) {
-        if self.limits().newer_layout {
+        if self.transaction_limits().write_newer_layout {
             self.write_termination_batches(&decision.scale_in).await;
         } else {
             self.write_machine_states(&decision.scale_in, MachineState::Returning)
@@ -210,14 +210,14 @@
     /// which tasks stay unplaced once the booting machines are up, otherwise which tasks have no machine
     /// now.
     pub fn forecast(&self, view: &ClusterState, include_booting: bool) -> Schedule {
-        let wall_clock = wall();
-        let late_machines = not_expected(view, wall_clock, &|id| self.is_known_ready(id));
+        let wall_clock = wall_clock_now();
+        let late_machines = late_booting_machines(view, wall_clock, &|id| self.is_known_ready(id));
         scheduling::schedule(&SchedulingInput {
             view,
             wall_clock,
             teams: &self.settings.teams,
             objectives: &self.settings.objectives,
-            schedulable: &|id, record| {
+            schedulable_machine: &|id, record| {
                 let is_counted = match record.state {
                     MachineState::Up => true,
                     MachineState::Booting => include_booting && !late_machines.contains(id),
@@ -228,7 +228,7 @@
                     owned: true,
                 })
             },
-            freed: &HashMap::new(),
+            released_resources: &HashMap::new(),
             in_backoff: &|_| false,
             owns_job: &|_| true,
             owns_machine: &|_| true,
@@ -255,7 +255,8 @@
     /// sequence number.
     fn next_cloud_request_name(&self) -> String {
         let lease = self.membership.lease().unwrap_or(0);
-        self.provisioning_errors.next_request_name(self.me(), lease)
+        self.cloud_request_state
+            .next_request_name(self.node_name(), lease)
     }
 }
 
--- a/src/autoscaler/reconciler/machine_list.rs
+++ b/src/autoscaler/reconciler/machine_list.rs
@@ -10,7 +10,7 @@
 use crate::ids::MachineId;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
-use crate::time::{Micros, SECOND, from_secs, wall};
+use crate::time::{Micros, SECOND, from_secs, wall_clock_now};
 use crate::wire::WireError;
 use crate::wire::cloud::{ListedMachine, ListedStatus, MACHINES_PATH, Page};
 use crate::wire::state::Transaction;
@@ -36,7 +36,7 @@
 impl Controller {
     /// Reads the machine list, adopts unknown machines and declares failed and missing machines lost.
     pub(super) async fn reconcile_with_machine_list(&self, state: &mut LeaderState) {
-        let requested_at = wall();
+        let requested_at = wall_clock_now();
         let list = match self.read_machine_list().await {
             Ok(list) => list,
             Err(error) => {
@@ -55,7 +55,7 @@
                 &view,
                 &list,
                 &mut state.consecutive_unlisted,
-                |record| requested_at.saturating_sub(record.rented_at) >= listed_after,
+                |record| requested_at.saturating_sub(record.provisioned_at) >= listed_after,
             ));
             let unknown = unknown_machines(&view, &list, &state.terminated_at, requested_at);
             (lost, unknown)
@@ -105,7 +105,7 @@
         requested_at: Micros,
     ) {
         for (kind, machines) in unknown {
-            for chunk in machines.chunks(self.machines_per_request()) {
+            for chunk in machines.chunks(self.max_machines_per_request()) {
                 let newest = chunk.iter().map(|machine| machine.provisioned_at).max();
                 let request = ScaleOutRequest {
                     machine_type: kind.machine_type.clone(),
@@ -200,7 +200,7 @@
     for (name, listed) in list {
         if terminated_at.contains_key(name)
             || view.machines.contains_key(name.as_str())
-            || view.deleted(&keys::machine(name))
+            || view.is_deleted(&keys::machine(name))
         {
             continue;
         }
--- a/src/autoscaler/reconciler/scale_out_requests.rs
+++ b/src/autoscaler/reconciler/scale_out_requests.rs
@@ -7,7 +7,7 @@
 use crate::controller::Controller;
 use crate::store::client::TransactionOutcome;
 use crate::store::keys;
-use crate::time::{SECOND, wall};
+use crate::time::{SECOND, wall_clock_now};
 use crate::wire::cloud::{MACHINES_PATH, MachineNames, ProvisionRequest};
 use crate::wire::state::{Mutation, Precondition, Transaction};
 use crate::wire::{encode, to_value};
@@ -36,9 +36,11 @@
 
 impl Controller {
     /// Returns the number of machines whose names fit into one stored scale-out request or termination batch.
-    pub fn machines_per_request(&self) -> usize {
-        let names =
-            self.value_limit().saturating_sub(REQUEST_OVERHEAD_BYTES) / MAX_MACHINE_NAME_BYTES;
+    pub fn max_machines_per_request(&self) -> usize {
+        let names = self
+            .max_value_bytes()
+            .saturating_sub(REQUEST_OVERHEAD_BYTES)
+            / MAX_MACHINE_NAME_BYTES;
         names.clamp(1, MAX_MACHINES_PER_REQUEST)
     }
 
@@ -61,7 +63,7 @@
                 }],
             }
         };
-        if let TransactionOutcome::Done(_) = self.watch_cache.transaction(&transaction).await {
+        if let TransactionOutcome::Committed(_) = self.watch_cache.transaction(&transaction).await {
             tracing::info!(
                 request = name,
                 machine_type = request.machine_type,
@@ -80,7 +82,7 @@
             let outstanding = state.outstanding_requests.borrow();
             view.scale_out_requests
                 .iter()
-                .filter(|(name, request)| request.open() && !outstanding.contains(*name))
+                .filter(|(name, request)| request.is_unanswered() && !outstanding.contains(*name))
                 .map(|(name, request)| (name.clone(), request.clone()))
                 .collect()
         };
@@ -99,18 +101,18 @@
 
     /// Sends one request and writes the cloud's answer.
     async fn execute_scale_out_request(&self, name: &str, request: &ScaleOutRequest) {
-        let sent_at = wall();
+        let sent_at = wall_clock_now();
         let machines = match self.provision(name, request).await {
             ProvisionOutcome::Provisioned(machines) => machines,
             ProvisionOutcome::Refused => {
-                self.provisioning_errors
+                self.cloud_request_state
                     .record_refusal(request, self.clock.now());
                 Vec::new()
             }
             ProvisionOutcome::Retry => return self.sleep(SECOND).await,
         };
         if !machines.is_empty() && machines.len() < request.count as usize {
-            self.provisioning_errors
+            self.cloud_request_state
                 .record_refusal(request, self.clock.now());
         }
         let answered_request = (!machines.is_empty()).then(|| {
@@ -186,7 +188,7 @@
         };
         if !matches!(
             self.watch_cache.transaction(&transaction).await,
-            TransactionOutcome::Done(_)
+            TransactionOutcome::Committed(_)
         ) {
             self.watch_cache.linearizable_read().await;
             self.sleep(SECOND / 4).await;
--- a/src/autoscaler/reconciler/terminations.rs
+++ b/src/autoscaler/reconciler/terminations.rs
@@ -10,7 +10,7 @@
 use crate::ids::MachineId;
 use crate::store::client::TransactionOutcome;
 use crate::store::keys;
-use crate::time::{SECOND, wall};
+use crate::time::{SECOND, wall_clock_now};
 use crate::wire::cloud::{MachineNames, TERMINATE_PATH};
 use crate::wire::state::{Mutation, Transaction};
 use crate::wire::{encode, to_value};
@@ -30,7 +30,7 @@
 impl Controller {
     /// Returns the writes available for marking machines; user requests and placements take precedence.
     fn spare_writes(&self) -> usize {
-        let (level, burst) = self.watch_cache.client().write_level();
+        let (level, burst) = self.watch_cache.client().write_budget();
         (level - burst * RESERVED_WRITE_BURST_SHARE).max(0.0) as usize
     }
 
@@ -48,7 +48,9 @@
             if transaction.mutations.is_empty() {
                 continue;
             }
-            if let TransactionOutcome::Done(_) = self.watch_cache.transaction(&transaction).await {
+            if let TransactionOutcome::Committed(_) =
+                self.watch_cache.transaction(&transaction).await
+            {
                 let machines = transaction.mutations.len();
                 tracing::info!(machines, ?state, "machine states written");
             }
@@ -61,7 +63,7 @@
         if state == MachineState::Up {
             return machines;
         }
-        let minimum = match self.limits().packed {
+        let minimum = match self.transaction_limits().write_packed_blocks {
             true => MIN_MACHINES_MARKED_PACKED,
             false => MIN_MACHINES_MARKED,
         };
@@ -93,7 +95,7 @@
     /// Marks empty machines for termination, many with one write. When a deployment shrinks, one write per
     /// machine would take longer than the remaining work.
     pub(super) async fn write_termination_batches(&self, ids: &[MachineId]) {
-        for chunk in ids.chunks(self.machines_per_request()) {
+        for chunk in ids.chunks(self.max_machines_per_request()) {
             // The machines must still be empty, see `write_machine_states`.
             if !self.watch_cache.linearizable_read().await {
                 return;
@@ -123,7 +125,9 @@
             let unchanged_keys = vec![keys::LEADER.into()];
             let transaction =
                 put_termination_batch(&self.watch_cache.view(), &name, &batch, unchanged_keys);
-            if let TransactionOutcome::Done(_) = self.watch_cache.transaction(&transaction).await {
+            if let TransactionOutcome::Committed(_) =
+                self.watch_cache.transaction(&transaction).await
+            {
                 tracing::info!(batch = name, machines = count, "termination batch written");
             }
         }
@@ -140,7 +144,7 @@
                 .map(|(name, batch)| (name.clone(), batch.clone()))
                 .collect()
         };
-        let wall_clock = wall();
+        let wall_clock = wall_clock_now();
         for (name, batch) in unanswered {
             for id in &batch.machines {
                 state.terminated_at.insert(id.to_string(), wall_clock);
@@ -210,7 +214,7 @@
         if ids.is_empty() {
             return;
         }
-        let wall_clock = wall();
+        let wall_clock = wall_clock_now();
         for id in &ids {
             state.terminated_at.insert(id.to_string(), wall_clock);
         }
@@ -280,7 +284,7 @@
                     .collect(),
             };
             match self.watch_cache.transaction(&transaction).await {
-                TransactionOutcome::Done(_) => {}
+                TransactionOutcome::Committed(_) => {}
                 _ => return self.sleep(SECOND / 2).await,
             }
         }
--- a/src/autoscaler/service_reserve.rs
+++ b/src/autoscaler/service_reserve.rs
@@ -24,11 +24,13 @@
         if spec.kind != JobKind::Service || !job.ready || job.cancelled() {
             continue;
         }
-        let startable = job.waiting.saturating_sub(forecast.schedule.limited(id));
+        let startable = job
+            .waiting
+            .saturating_sub(forecast.schedule.quota_limited_count(id));
         total += spec.resources.cpus * i64::from(job.placed + startable);
         largest = largest.max(spec.resources.cpus * i64::from(spec.task_count));
     }
-    ((total as f64 * forecast.policy.service_spare) as i64).max(largest)
+    ((total as f64 * forecast.policy.service_reserve_share) as i64).max(largest)
 }
 
 /// Returns the available CPUs: free on machines of the reserve, or used there by preemptible arrays.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -3,7 +3,7 @@
 //! Each loop is a method in the module that owns the state that the loop changes. This file owns only the startup
 //! milestones, and derives values that several modules need: terms of shards and limits of the state service.
 
-use crate::autoscaler::reconciler::ProvisioningErrors;
+use crate::autoscaler::reconciler::CloudRequestState;
 use crate::fairness::service_levels::ServiceLevelMonitor;
 use crate::jobs::commit::TransactionLimits;
 use crate::membership::Membership;
@@ -14,7 +14,7 @@
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
 use crate::store::watch_cache::WatchCache;
-use crate::time::{Clock, Micros, to_duration, wall};
+use crate::time::{Clock, Micros, to_duration, wall_clock_now};
 use crate::wire::client::Client;
 use crate::wire::server::{ConnectionGauge, Request, Response, serve};
 use crate::wire::{peer, worker};
@@ -45,8 +45,8 @@
     pub membership: Membership,
     /// Workers on the machines of the shards that this controller owns.
     pub workers: WorkerRegistry,
-    /// Machine types and zones for which the cloud recently refused scale-out requests.
-    pub provisioning_errors: ProvisioningErrors,
+    /// Recently refused instance kinds, and the sequence number of requests to the cloud.
+    pub cloud_request_state: CloudRequestState,
     /// State of the reconciliation loop.
     pub reconciler: Reconciler,
     /// Job classes and teams that miss their objectives, tracked while this controller is the leader.
@@ -111,8 +111,8 @@
             http.clone(),
             settings.state,
             clock,
-            settings.state_limits.rps * REQUEST_SHARE / controller_count,
-            settings.state_limits.write_rps * WRITE_SHARE / controller_count,
+            settings.state_limits.requests_per_s * REQUEST_SHARE / controller_count,
+            settings.state_limits.writes_per_s * WRITE_SHARE / controller_count,
         );
         Rc::new(Controller {
             settings,
@@ -123,7 +123,7 @@
             watch_cache: WatchCache::new(store, clock),
             membership: Membership::default(),
             workers: WorkerRegistry::default(),
-            provisioning_errors: ProvisioningErrors::default(),
+            cloud_request_state: CloudRequestState::default(),
             reconciler: Reconciler::default(),
             service_level_monitor: RefCell::default(),
             milestones: RefCell::default(),
@@ -150,7 +150,7 @@
         self.spawn(|this| async move { this.reconcile_loop().await });
         self.spawn(|this| async move { this.autoscaler_loop().await });
         self.spawn(|this| async move { this.task_counts_loop().await });
-        self.spawn(|this| async move { this.peer_loop().await });
+        self.spawn(|this| async move { this.peer_heartbeat_loop().await });
     }
 
     fn spawn<F: Future + 'static>(self: &Rc<Controller>, task: impl FnOnce(Rc<Controller>) -> F)
@@ -185,7 +185,7 @@
     async fn on_public_request(&self, request: Request) -> Response {
         if request.path == worker::HEARTBEAT_PATH {
             return match (request.method, &request.body) {
-                (Method::Post, Some(body)) => self.on_heartbeat(body),
+                (Method::Post, Some(body)) => self.handle_heartbeat(body),
                 (Method::Post, None) => Response::status(400),
                 _ => Response::status(405),
             };
@@ -199,7 +199,7 @@
             };
         }
         if request.path.starts_with(USER_PATH_PREFIX) {
-            let response = self.on_user_or_forward(request).await;
+            let response = self.handle_or_forward_user_request(request).await;
             if response.status < FIRST_RETRY_STATUS {
                 self.record_milestone(StartupMilestone::User);
             }
@@ -212,18 +212,18 @@
     async fn on_internal_request(&self, request: Request) -> Response {
         if request.path == peer::FORWARD_PATH {
             let body = request.body.as_deref().unwrap_or_default();
-            return self.on_forward(body).await;
+            return self.handle_forwarded_request(body).await;
         }
         let heartbeat = request
             .body
             .filter(|_| request.path == peer::PEER_HEARTBEAT_PATH);
         let Some(heartbeat) = heartbeat else {
-            return self.inspect(&request.path);
+            return self.handle_inspection_request(&request.path);
         };
         if heartbeat.is_empty() {
             return Response::status(400);
         }
-        self.on_peer_heartbeat(&heartbeat)
+        self.handle_peer_heartbeat(&heartbeat)
     }
 
     /// Returns whether the load balancer should route users to this controller.
@@ -231,14 +231,14 @@
         if !self.watch_cache.loaded() {
             return false;
         }
-        self.watch_cache.current() || self.common_outage()
+        self.watch_cache.is_current() || self.state_service_unreachable_for_all()
     }
 
     /// Returns whether no controller reaches the state service, so that no other controller can serve users better.
     /// It does not imply anything about requests that other controllers accepted before.
-    pub fn common_outage(&self) -> bool {
+    pub fn state_service_unreachable_for_all(&self) -> bool {
         self.membership
-            .common_outage(self.settings.peers.len(), self.clock.now())
+            .state_service_unreachable_for_all(self.settings.peers.len(), self.clock.now())
     }
 
     /// Logs a milestone when it is reached for the first time.
@@ -246,7 +246,7 @@
         let mut reached = self.milestones.borrow_mut();
         if !reached.contains(&milestone) {
             reached.push(milestone);
-            let after_ms = self.clock.age() / crate::time::MILLI;
+            let after_ms = self.clock.elapsed() / crate::time::MILLISECOND;
             tracing::info!(?milestone, after_ms, "startup milestone reached");
         }
     }
@@ -257,7 +257,7 @@
     }
 
     /// Returns the name of this controller.
-    pub fn me(&self) -> &str {
+    pub fn node_name(&self) -> &str {
         &self.settings.node
     }
 
@@ -266,7 +266,8 @@
     /// writes of earlier owners.
     pub fn term(&self, view: &ClusterState, shard: u32) -> Option<u64> {
         let record = view.shards.get(&shard)?;
-        let is_owner = record.owner == self.me() && self.membership.is_own_lease(record.lease);
+        let is_owner =
+            record.owner == self.node_name() && self.membership.was_lease_granted(record.lease);
         (is_owner
             && self.watch_cache.loaded()
             && view.revision >= view.version(&keys::shard(shard)))
@@ -286,23 +287,23 @@
     }
 
     /// Returns the maximum size of a written value in bytes of JSON, less a reserve.
-    pub fn value_limit(&self) -> usize {
+    pub fn max_value_bytes(&self) -> usize {
         self.state_limits()
             .max_value_bytes
             .saturating_sub(VALUE_RESERVE_BYTES)
     }
 
     /// Returns the limits of written transactions.
-    pub fn limits(&self) -> TransactionLimits {
-        let newer_layout = self.watch_cache.view().layout.is_some();
+    pub fn transaction_limits(&self) -> TransactionLimits {
+        let write_newer_layout = self.watch_cache.view().layout.is_some();
         TransactionLimits {
             max_mutations: self.state_limits().max_mutations,
-            max_merged_mutations: (self.watch_cache.client().write_level().1 / 2.0) as usize,
+            max_merged_mutations: (self.watch_cache.client().write_budget().1 / 2.0) as usize,
             max_bytes: MAX_TRANSACTION_BYTES,
-            max_value_bytes: self.value_limit(),
-            newer_layout,
-            packed: newer_layout && self.settings.next_state_limits.is_some(),
-            wall_clock: wall(),
+            max_value_bytes: self.max_value_bytes(),
+            write_newer_layout,
+            write_packed_blocks: write_newer_layout && self.settings.next_state_limits.is_some(),
+            wall_clock: wall_clock_now(),
         }
     }
 }
--- a/src/jobs/api/cancellation.rs
+++ b/src/jobs/api/cancellation.rs
@@ -8,17 +8,17 @@
 use crate::controller::Controller;
 use crate::store::client::TransactionOutcome;
 use crate::wire::server::Response;
-use crate::wire::user::valid_id;
+use crate::wire::user::is_valid_job_id;
 
 impl Controller {
     /// Handles a cancellation request. Idempotent: the answer for a finished job is its state.
     pub(super) async fn cancel(&self, id: &str) -> Response {
-        if !valid_id(id) {
+        if !is_valid_job_id(id) {
             return Response::status(404);
         }
         for _ in 0..MAX_TRANSACTIONS_PER_REQUEST {
             match self.job_state(id).await {
-                Ok(Some(state)) if is_final(&state) => return Response::with(200, &state),
+                Ok(Some(state)) if is_final(&state) => return Response::with_body(200, &state),
                 // The cancellation could not be confirmed after the write, so nothing is written.
                 Ok(Some(_)) if self.membership.confirmations_held(self.clock.now()) => {
                     return service_unavailable();
@@ -27,13 +27,17 @@
                 Ok(None) => return Response::status(404),
                 Err(StateUnavailable) => return service_unavailable(),
             }
-            let transaction = cancel(&self.watch_cache.view(), &JobId::from(id), self.limits());
+            let transaction = cancel(
+                &self.watch_cache.view(),
+                &JobId::from(id),
+                self.transaction_limits(),
+            );
             let Some(transaction) = transaction else {
                 continue;
             };
             match self.watch_cache.transaction(&transaction).await {
-                TransactionOutcome::Done(_) | TransactionOutcome::Conflict(_) => {}
-                TransactionOutcome::Refused(_) | TransactionOutcome::Unknown => {
+                TransactionOutcome::Committed(_) | TransactionOutcome::Conflict(_) => {}
+                TransactionOutcome::Rejected(_) | TransactionOutcome::Unknown => {
                     return service_unavailable();
                 }
             }
--- a/src/jobs/api/job_state.rs
+++ b/src/jobs/api/job_state.rs
@@ -2,11 +2,11 @@
 //! controller: every state that is not final needs a linearizable read.
 
 use super::super::model::JobId;
-use super::super::pipelines::{answer, finished_job_answer};
+use super::super::pipelines::{finished_job_answer, job_answer};
 use super::{StateUnavailable, service_unavailable};
 use crate::controller::Controller;
 use crate::wire::server::Response;
-use crate::wire::user::{JobAnswer, Status, valid_id};
+use crate::wire::user::{JobAnswer, Status, is_valid_job_id};
 
 /// Returns whether the state of a job is final, which means that it never changes again.
 pub(super) fn is_final(answer: &JobAnswer) -> bool {
@@ -16,11 +16,11 @@
 impl Controller {
     /// Handles a request for a job's state.
     pub(super) async fn handle_job_state_request(&self, id: &str) -> Response {
-        if !valid_id(id) {
+        if !is_valid_job_id(id) {
             return Response::status(404);
         }
         match self.job_state(id).await {
-            Ok(Some(state)) => Response::with(200, &state),
+            Ok(Some(state)) => Response::with_body(200, &state),
             Ok(None) => Response::status(404),
             Err(StateUnavailable) => service_unavailable(),
         }
@@ -28,7 +28,7 @@
 
     /// Returns the job's state in the watch cache, which may be stale.
     pub(super) fn cached_job_state(&self, id: &str) -> Option<JobAnswer> {
-        answer(&self.watch_cache.view(), id)
+        job_answer(&self.watch_cache.view(), id)
     }
 
     /// Returns the job's current state; `None` if it was never submitted. A cancellation is not returned
@@ -56,7 +56,7 @@
         if let Some(state) = cached.as_ref().filter(|state| is_final(state)) {
             return Ok(Some(state.clone()));
         }
-        if !self.watch_cache.loaded() || !self.watch_cache.current() {
+        if !self.watch_cache.loaded() || !self.watch_cache.is_current() {
             return Err(StateUnavailable);
         }
         if cached.is_none() {
--- a/src/jobs/api/submission.rs
+++ b/src/jobs/api/submission.rs
@@ -8,11 +8,11 @@
 use crate::controller::Controller;
 use crate::store::client::TransactionOutcome;
 use crate::store::keys;
-use crate::time::{Micros, SECOND, wall};
+use crate::time::{Micros, SECOND, wall_clock_now};
 use crate::wire::decode;
 use crate::wire::server::Response;
 use crate::wire::state::Transaction;
-use crate::wire::user::{JobAnswer, Status, Submission, id_in, valid_id};
+use crate::wire::user::{JobAnswer, Status, Submission, is_valid_job_id, job_id_in_body};
 
 /// Longest wait for the write budget of the state service; a submission that would have to wait longer is
 /// answered with status 429.
@@ -74,7 +74,7 @@
         let submission: Submission = match decode(body) {
             Ok(submission) => submission,
             Err(error) => {
-                let id = id_in(body).unwrap_or_default();
+                let id = job_id_in_body(body).unwrap_or_default();
                 let error = SubmissionError::Malformed(error.to_string());
                 return self.reject(&id, error).await;
             }
@@ -88,9 +88,9 @@
                     running: 0,
                     dependencies: Vec::new(),
                 };
-                Response::with(201, &state)
+                Response::with_body(201, &state)
             }
-            Ok(Acceptance::Existing(state)) => Response::with(200, &state),
+            Ok(Acceptance::Existing(state)) => Response::with_body(200, &state),
             Err(error) => self.reject(&submission.id, error).await,
         }
     }
@@ -102,21 +102,21 @@
         let status = match &error {
             SubmissionError::Malformed(_)
             | SubmissionError::Inadmissible(AdmissionError::Malformed(_)) => 400,
-            SubmissionError::Inadmissible(AdmissionError::Impossible(_)) => 422,
+            SubmissionError::Inadmissible(AdmissionError::Infeasible(_)) => 422,
             SubmissionError::TooLarge => {
                 tracing::debug!(id, %error, "submission rejected");
-                return Response::refusal(400, &error.to_string());
+                return Response::error(400, &error.to_string());
             }
             SubmissionError::Overloaded => return Response::retry_later(429, RETRY_AFTER_S),
             SubmissionError::Unavailable => return service_unavailable(),
         };
         tracing::debug!(id, status, %error, "submission rejected");
-        let rejection = Response::refusal(status, &error.to_string());
-        if !valid_id(id) {
+        let rejection = Response::error(status, &error.to_string());
+        if !is_valid_job_id(id) {
             return rejection;
         }
         match self.job_state(id).await {
-            Ok(Some(state)) => Response::with(200, &state),
+            Ok(Some(state)) => Response::with_body(200, &state),
             Ok(None) => rejection,
             Err(StateUnavailable) => service_unavailable(),
         }
@@ -133,7 +133,7 @@
                 .ok_or(SubmissionError::Unavailable);
         }
         let mut spec = self.admit(submission)?;
-        if !self.watch_cache.current() {
+        if !self.watch_cache.is_current() {
             return Err(SubmissionError::Unavailable);
         }
         let names = submission.dependencies.as_deref().unwrap_or_default();
@@ -161,7 +161,7 @@
             submission,
             &self.settings,
             &view.machine_types,
-            wall(),
+            wall_clock_now(),
         )?)
     }
 
@@ -173,20 +173,20 @@
     ) -> Result<Vec<JobId>, SubmissionError> {
         // A controller of the previous version would start the job at once, so dependencies are not
         // accepted until every controller runs a newer version.
-        if self.watch_cache.view().layout.is_none() || !self.watch_cache.current() {
+        if self.watch_cache.view().layout.is_none() || !self.watch_cache.is_current() {
             return Err(SubmissionError::Unavailable);
         }
         let unknown = match check_dependencies(&self.watch_cache.view(), id, names) {
             DependencyCheck::Accepted(dependencies) => return Ok(dependencies),
-            DependencyCheck::Impossible(reason) => return Err(impossible_job(reason)),
+            DependencyCheck::Infeasible(reason) => return Err(infeasible_job(reason)),
             DependencyCheck::Unknown(unknown) => unknown,
         };
         self.read_dependencies(&unknown).await?;
         match check_dependencies(&self.watch_cache.view(), id, names) {
             DependencyCheck::Accepted(dependencies) => Ok(dependencies),
-            DependencyCheck::Impossible(reason) => Err(impossible_job(reason)),
+            DependencyCheck::Infeasible(reason) => Err(infeasible_job(reason)),
             DependencyCheck::Unknown(_) => {
-                Err(impossible_job("waits for a job that was never accepted"))
+                Err(infeasible_job("waits for a job that was never accepted"))
             }
         }
     }
@@ -224,8 +224,12 @@
     ) -> Result<Acceptance, SubmissionError> {
         let id = &submission.id;
         for _ in 0..MAX_TRANSACTIONS_PER_REQUEST {
-            let transactions =
-                accept_submission(&self.watch_cache.view(), id, spec.clone(), self.limits());
+            let transactions = accept_submission(
+                &self.watch_cache.view(),
+                id,
+                spec.clone(),
+                self.transaction_limits(),
+            );
             let transactions = transactions.ok_or(SubmissionError::TooLarge)?;
             match self.send_transactions(id, transactions).await? {
                 WriteOutcome::Created => {
@@ -251,8 +255,10 @@
             let mut mutations = transaction.mutations.iter();
             let writes_record = mutations.any(|mutation| mutation.key() == record_key);
             match self.watch_cache.transaction(&transaction).await {
-                TransactionOutcome::Done(_) if writes_record => return Ok(WriteOutcome::Created),
-                TransactionOutcome::Done(_) => {}
+                TransactionOutcome::Committed(_) if writes_record => {
+                    return Ok(WriteOutcome::Created);
+                }
+                TransactionOutcome::Committed(_) => {}
                 TransactionOutcome::Conflict(_) => {
                     return match self.job_state(id).await? {
                         Some(state) => Ok(WriteOutcome::Existing(state)),
@@ -260,8 +266,8 @@
                         None => Err(SubmissionError::Unavailable),
                     };
                 }
-                TransactionOutcome::Refused(429) => return Err(SubmissionError::Overloaded),
-                TransactionOutcome::Refused(_) | TransactionOutcome::Unknown => {
+                TransactionOutcome::Rejected(429) => return Err(SubmissionError::Overloaded),
+                TransactionOutcome::Rejected(_) | TransactionOutcome::Unknown => {
                     return Err(SubmissionError::Unavailable);
                 }
             }
@@ -274,13 +280,13 @@
 fn check_ids(submission: &Submission) -> Result<(), SubmissionError> {
     let dependencies = submission.dependencies.iter().flatten();
     let mut ids = dependencies.chain([&submission.id]);
-    match ids.find(|id| !valid_id(id)) {
+    match ids.find(|id| !is_valid_job_id(id)) {
         Some(id) => Err(SubmissionError::Malformed(format!("no job id: {id:.40}"))),
         None => Ok(()),
     }
 }
 
 /// Returns the error for dependencies with which the job can never run.
-fn impossible_job(reason: &'static str) -> SubmissionError {
-    AdmissionError::Impossible(reason).into()
+fn infeasible_job(reason: &'static str) -> SubmissionError {
+    AdmissionError::Infeasible(reason).into()
 }
--- a/src/jobs/model/admission.rs
+++ b/src/jobs/model/admission.rs
@@ -2,10 +2,10 @@
 //! malformed or can never run.
 
 use super::{Dependencies, JobSpec, MAX_TASKS, Resources};
-use crate::settings::{Settings, Team, milli};
+use crate::settings::{Settings, Team, to_thousandths};
 use crate::time::{Micros, from_secs};
 use crate::wire::cloud::MachineType;
-use crate::wire::user::{JobKind, Submission, valid_id};
+use crate::wire::user::{JobKind, Submission, is_valid_job_id};
 use std::collections::BTreeMap;
 
 /// Difference below which two amounts are equal: decimal fractions are inexact in floating point.
@@ -28,7 +28,7 @@
     Malformed(&'static str),
     /// The job is valid but can never run on this cluster; answered with status 422. Contains the reason.
     #[error("can never run: {0}")]
-    Impossible(&'static str),
+    Infeasible(&'static str),
 }
 
 /// Amounts and times of a submission, all of them checked to be in range.
@@ -53,7 +53,7 @@
     let amounts = CheckedAmounts::from_submission(submission)?;
     let team = settings
         .team(&submission.team)
-        .ok_or(AdmissionError::Impossible("unknown team"))?;
+        .ok_or(AdmissionError::Infeasible("unknown team"))?;
     let machine_types = existing_machine_types(submission, types);
     check_fits_a_machine(
         submission,
@@ -70,7 +70,7 @@
         task_count: submission.task_count,
         resources: amounts.resources,
         image: submission.image.clone(),
-        image_size: milli(amounts.image_gb),
+        image_size: to_thousandths(amounts.image_gb),
         machine_types,
         zone: submission.zone.clone(),
         single_zone: submission.single_zone,
@@ -88,7 +88,7 @@
 
 /// Checks the format of the id, the number of tasks and the lengths of the names.
 fn check_names(submission: &Submission) -> Result<(), AdmissionError> {
-    if !valid_id(&submission.id) {
+    if !is_valid_job_id(&submission.id) {
         return Err(AdmissionError::Malformed("id"));
     }
     if submission.task_count == 0 || submission.task_count > MAX_TASKS {
@@ -110,9 +110,9 @@
 impl CheckedAmounts {
     fn from_submission(submission: &Submission) -> Result<CheckedAmounts, AdmissionError> {
         let resources = Resources {
-            cpus: milli(check_range(submission.cpus, MAX_CPUS_OR_GPUS, "CPUs")?),
-            gpus: milli(check_range(submission.gpus, MAX_CPUS_OR_GPUS, "GPUs")?),
-            memory: milli(check_range(submission.memory_gb, MAX_SIZE_GB, "memory")?),
+            cpus: to_thousandths(check_range(submission.cpus, MAX_CPUS_OR_GPUS, "CPUs")?),
+            gpus: to_thousandths(check_range(submission.gpus, MAX_CPUS_OR_GPUS, "GPUs")?),
+            memory: to_thousandths(check_range(submission.memory_gb, MAX_SIZE_GB, "memory")?),
         };
         let image_gb = check_range(submission.image_gb, MAX_SIZE_GB, "image size")?;
         let seconds = |amount: f64, field| check_range(amount, MAX_DURATION_S, field);
@@ -185,7 +185,7 @@
     });
     match fits {
         true => Ok(()),
-        false => Err(AdmissionError::Impossible(
+        false => Err(AdmissionError::Infeasible(
             "a task fits no allowed machine type",
         )),
     }
@@ -211,7 +211,7 @@
     if exceeds(submission.cpus, resources.cpus, team.cpus_max)
         || exceeds(submission.gpus, resources.gpus, team.gpus_max)
     {
-        return Err(AdmissionError::Impossible("more than the team's limit"));
+        return Err(AdmissionError::Infeasible("more than the team's limit"));
     }
     Ok(())
 }
--- a/src/membership/leader_election.rs
+++ b/src/membership/leader_election.rs
@@ -8,7 +8,7 @@
 use crate::store::client::TransactionOutcome;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
-use crate::time::{Micros, wall};
+use crate::time::{Micros, wall_clock_now};
 use crate::wire::state::{Mutation, Transaction};
 use crate::wire::to_value;
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
     /// Another incarnation is the leader or should become it.
     Following,
     /// There is no leader: this incarnation should try to become it with the given write.
-    Vacant(Transaction),
+    NoLeader(Transaction),
 }
 
 /// Returns whether an incarnation is the leader or should become it. The leader is an incarnation, not a
@@ -59,7 +59,7 @@
         node: incarnation.node.to_string(),
         lease: incarnation.lease,
     };
-    LeaderStatus::Vacant(Transaction {
+    LeaderStatus::NoLeader(Transaction {
         preconditions: vec![view.precondition(keys::LEADER)],
         mutations: vec![Mutation::Put {
             key: keys::LEADER.into(),
@@ -80,14 +80,14 @@
             };
             let view = self.watch_cache.view();
             let live_members = self.membership.peers.live_members(&view.members);
-            match leader_status(&view, &live_members, incarnation, wall()) {
+            match leader_status(&view, &live_members, incarnation, wall_clock_now()) {
                 LeaderStatus::Leading => return true,
                 LeaderStatus::Following => return false,
-                LeaderStatus::Vacant(claim) => claim,
+                LeaderStatus::NoLeader(claim) => claim,
             }
         };
         match self.watch_cache.transaction(&claim).await {
-            TransactionOutcome::Done(_) => {
+            TransactionOutcome::Committed(_) => {
                 tracing::info!("became leader");
                 self.watch_cache.linearizable_read().await
             }
--- a/src/membership/lease_renewal.rs
+++ b/src/membership/lease_renewal.rs
@@ -14,7 +14,7 @@
 use crate::store::client::TransactionOutcome;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
-use crate::time::{Micros, SECOND, wall};
+use crate::time::{Micros, SECOND, wall_clock_now};
 use crate::wire::state::{Mutation, Transaction};
 use crate::wire::to_value;
 use foldhash::HashSet;
@@ -149,12 +149,12 @@
             };
             self.membership.lease.set(Some(granted));
             let view = self.watch_cache.view();
-            let previous = view.members.get(self.me());
+            let previous = view.members.get(self.node_name());
             *desired = Some(Member::new_incarnation(
                 previous,
                 granted,
                 LAYOUT_VERSION,
-                wall(),
+                wall_clock_now(),
             ));
             return LeaseAttempt::Held;
         };
@@ -183,7 +183,7 @@
             return MemberKeyWrite::Finished;
         };
         match self.watch_cache.transaction(&claim).await {
-            TransactionOutcome::Refused(400) => self.membership.lease.set(None),
+            TransactionOutcome::Rejected(400) => self.membership.lease.set(None),
             // A delayed request of an earlier incarnation was applied.
             TransactionOutcome::Conflict(_) => {
                 self.watch_cache.linearizable_read().await;
@@ -197,7 +197,7 @@
     /// Returns this process as an incarnation, while it considers its lease valid.
     pub(super) fn incarnation(&self) -> Option<Incarnation<'_>> {
         let lease = self.membership.lease()?;
-        let node = self.me();
+        let node = self.node_name();
         Some(Incarnation { node, lease })
     }
 }
--- a/src/membership/shard_ownership.rs
+++ b/src/membership/shard_ownership.rs
@@ -9,7 +9,7 @@
 use crate::store::client::TransactionOutcome;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
-use crate::time::{MILLI, Micros, SECOND, wall};
+use crate::time::{MILLISECOND, Micros, SECOND, wall_clock_now};
 use crate::wire::state::{Mutation, Precondition, Transaction};
 use crate::wire::to_value;
 use foldhash::HashSet;
@@ -22,9 +22,9 @@
 /// Maximum interval between checks of the assignment, which also changes with time alone.
 const MAX_CHECK_INTERVAL: Micros = SECOND / 3;
 /// Delay after a change of the view, so that changes in quick succession are processed together.
-const CHANGE_DEBOUNCE_DELAY: Micros = 50 * MILLI;
+const CHANGE_DEBOUNCE_DELAY: Micros = 50 * MILLISECOND;
 /// Delay after a failed write: other controllers claim shards at the same moment.
-const RETRY_DELAY: Micros = 100 * MILLI;
+const RETRY_DELAY: Micros = 100 * MILLISECOND;
 
 /// Inputs of the decision which shards to claim.
 pub struct ShardClaim<'a> {
@@ -103,7 +103,7 @@
 
 /// Returns whether a deployment has only just started and the other controllers are expected to join.
 fn awaits_other_members(view: &ClusterState, member: &Member, now: Micros) -> bool {
-    let just_started = now.saturating_sub(member.since) < STARTUP_GRACE_PERIOD;
+    let just_started = now.saturating_sub(member.joined_at) < STARTUP_GRACE_PERIOD;
     just_started && view.members.len() == 1 && view.shards.is_empty()
 }
 
@@ -117,7 +117,7 @@
             })
             .await;
             self.sleep(CHANGE_DEBOUNCE_DELAY).await;
-            if !self.watch_cache.loaded() || !self.watch_cache.current() {
+            if !self.watch_cache.loaded() || !self.watch_cache.is_current() {
                 continue;
             }
             self.check_worker_reachability();
@@ -125,7 +125,7 @@
                 continue;
             };
             match self.watch_cache.transaction(&claim).await {
-                TransactionOutcome::Done(_) => {
+                TransactionOutcome::Committed(_) => {
                     tracing::info!(shards = claim.mutations.len(), "shards claimed");
                     // The new term is usable only once all earlier writes are in the view.
                     self.watch_cache.linearizable_read().await;
@@ -148,7 +148,7 @@
             view: &view,
             live_members: &self.membership.peers.live_members(&view.members),
             incarnation,
-            now: wall(),
+            now: wall_clock_now(),
             max_mutations,
         };
         claim_shards(&claim, &mut pending_term_increments)
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -15,7 +15,7 @@
 use crate::membership::SHARD_COUNT;
 use crate::store::client::TransactionOutcome;
 use crate::store::cluster_state::ClusterState;
-use crate::time::{MILLI, Micros, SECOND};
+use crate::time::{MILLISECOND, Micros, SECOND};
 use crate::workers::{self, WorkerState};
 use decide::{BOOKKEEPING_RESERVE_SHARE, PlanRequest, ReconcileInput, WriteBudget, WriteSchedule};
 use foldhash::HashSet;
@@ -25,24 +25,24 @@
 use std::rc::Rc;
 
 /// Minimum pause between two passes.
-const MIN_PASS_PAUSE: Micros = 40 * MILLI;
+const MIN_PASS_PAUSE: Micros = 40 * MILLISECOND;
 /// Minimum ratio of the pause to the duration of the pass before it, so that heartbeats and user requests
 /// are answered while passes are long.
 const MIN_PAUSE_TO_PASS_RATIO: u64 = 4;
 /// Maximum wait for a change before a pass runs without one.
 const IDLE_PASS_INTERVAL: Micros = SECOND / 5;
-/// Interval at which machines that need commands, are not fenced or have an overdue heartbeat (unsettled
-/// machines) are compared with their task blocks.
-const UNSETTLED_CHECK_INTERVAL: Micros = SECOND;
+/// Interval at which machines that need commands, are not fenced or have an overdue heartbeat (machines to
+/// check) are compared with their task blocks.
+const MACHINE_CHECK_INTERVAL: Micros = SECOND;
 /// Minimum interval at which every machine is compared with its task blocks. Between two full sweeps
-/// only machines that changed or are unsettled are compared.
+/// only machines that changed or are to be checked are compared.
 const MIN_FULL_SWEEP_INTERVAL: Micros = 5 * SECOND;
 /// Minimum ratio of the full sweep interval to the duration of the last full sweep, so that sweeps of a
 /// large cluster do not use all processor time.
 const MIN_INTERVAL_TO_SWEEP_RATIO: u64 = 12;
 /// Interval at which overdue heartbeats are checked and machine records written.
 const HEARTBEAT_CHECK_INTERVAL: Micros = SECOND / 5;
-/// Time for which the jobs of a refused transaction stay in flight, so that it is not retried at once.
+/// Time for which the jobs of a rejected transaction stay in flight, so that it is not retried at once.
 const REFUSAL_RETRY_DELAY: Micros = SECOND / 8;
 /// Share of the state service's request limit that the live controllers divide evenly. The rest covers
 /// requests that this budget does not count (lease renewals) and clock skew.
@@ -58,20 +58,20 @@
     jobs_in_flight: RefCell<HashSet<JobId>>,
     /// Ended attempts, by machine, that heartbeats prove and the stored task blocks do not record yet.
     ended_attempts: RefCell<BTreeMap<MachineId, Vec<JobChange>>>,
-    last_unsettled_check: Cell<Micros>,
+    last_machine_check: Cell<Micros>,
     last_full_sweep: Cell<Micros>,
     full_sweep_interval: Cell<Micros>,
     last_heartbeat_check: Cell<Micros>,
-    adoption: RefCell<Adoption>,
+    machine_sync: RefCell<MachineSync>,
 }
 
-/// Inputs and time of the last adoption of machines.
+/// Inputs and time of the last update of the registry of workers.
 #[derive(Default)]
-struct Adoption {
-    machines_epoch: u64,
+struct MachineSync {
+    machines_change_count: u64,
     /// This controller's term of each shard, by shard; `None` for shards that it did not own.
     terms: Vec<Option<u64>>,
-    adopted_at: Micros,
+    synced_at: Micros,
 }
 
 /// Machines that a pass examines, and the time and terms of the pass.
@@ -81,9 +81,9 @@
     terms: Vec<Option<u64>>,
     /// Whether every machine is examined.
     full_sweep: bool,
-    /// Whether unsettled machines are examined.
-    unsettled_check: bool,
-    /// Machines whose heartbeat or tasks changed and, in an unsettled check, unsettled machines.
+    /// Whether the machines to check are examined.
+    machine_check_due: bool,
+    /// Machines whose heartbeat or tasks changed and, if a check is due, the machines to check.
     changed_machines: HashSet<MachineId>,
 }
 
@@ -121,8 +121,8 @@
         let staged = {
             let view = self.watch_cache.view();
             self.update_budget_share(&view);
-            self.adopt_machines_if_due(&view, &scope);
-            if self.watch_cache.current() {
+            self.sync_machines_if_due(&view, &scope);
+            if self.watch_cache.is_current() {
                 self.collect_ended_attempts(&view, &scope);
                 self.stage_transactions(&view, &scope)
             } else {
@@ -144,29 +144,29 @@
     }
 
     /// Selects the machines that a pass examines. Between two full sweeps these are only machines that
-    /// sent a heartbeat or whose tasks changed and, every `UNSETTLED_CHECK_INTERVAL`, unsettled machines.
+    /// sent a heartbeat or whose tasks changed and, every `MACHINE_CHECK_INTERVAL`, the machines to check.
     fn pass_scope(&self) -> PassScope {
         let now = self.clock.now();
         let reconciler = &self.reconciler;
         let terms = self.terms(&self.watch_cache.view());
         let full_sweep = now.saturating_sub(reconciler.last_full_sweep.get())
             >= reconciler.full_sweep_interval.get();
-        let mut changed_machines = self.workers.take_changed();
+        let mut changed_machines = self.workers.take_changed_workers();
         changed_machines.extend(self.watch_cache.take_changed_machines());
-        let unsettled_check =
-            now.saturating_sub(reconciler.last_unsettled_check.get()) >= UNSETTLED_CHECK_INTERVAL;
-        if unsettled_check {
-            reconciler.last_unsettled_check.set(now);
+        let machine_check_due =
+            now.saturating_sub(reconciler.last_machine_check.get()) >= MACHINE_CHECK_INTERVAL;
+        if machine_check_due {
+            reconciler.last_machine_check.set(now);
             // A heartbeat is overdue a quarter of its interval after it was expected.
             let overdue_after = self.settings.heartbeat_interval * 5 / 4;
-            changed_machines.extend(self.workers.unsettled(overdue_after, now));
+            changed_machines.extend(self.workers.machines_to_check(overdue_after, now));
             changed_machines.extend(reconciler.ended_attempts.borrow().keys().cloned());
         }
         PassScope {
             now,
             terms,
             full_sweep,
-            unsettled_check,
+            machine_check_due,
             changed_machines,
         }
     }
@@ -176,29 +176,30 @@
     fn update_budget_share(&self, view: &ClusterState) {
         let alive = view.members.len().clamp(1, self.settings.peers.len() + 1) as f64;
         let limits = self.state_limits();
-        self.watch_cache.client().set_rates(
-            limits.rps * REQUEST_SHARE / alive,
-            limits.write_rps * WRITE_SHARE / alive,
+        self.watch_cache.client().set_rate_limits(
+            limits.requests_per_s * REQUEST_SHARE / alive,
+            limits.writes_per_s * WRITE_SHARE / alive,
         );
     }
 
-    /// Adopts the machines of this controller's shards: at every unsettled check, immediately after a
+    /// Updates the registry of the machines in this controller's shards: at every check, immediately after a
     /// term changes, and after machines are added or removed at most every `HEARTBEAT_CHECK_INTERVAL`,
     /// since on a large cluster this happens all the time.
-    fn adopt_machines_if_due(&self, view: &ClusterState, scope: &PassScope) {
+    fn sync_machines_if_due(&self, view: &ClusterState, scope: &PassScope) {
         let changed = {
-            let last = self.reconciler.adoption.borrow();
-            let due = scope.now.saturating_sub(last.adopted_at) >= HEARTBEAT_CHECK_INTERVAL;
-            last.terms != scope.terms || (due && last.machines_epoch != view.machines_epoch)
+            let last = self.reconciler.machine_sync.borrow();
+            let due = scope.now.saturating_sub(last.synced_at) >= HEARTBEAT_CHECK_INTERVAL;
+            last.terms != scope.terms
+                || (due && last.machines_change_count != view.machines_change_count)
         };
-        if !scope.unsettled_check && !changed {
+        if !scope.machine_check_due && !changed {
             return;
         }
-        self.adopt_machines(view, &scope.terms, scope.now);
-        *self.reconciler.adoption.borrow_mut() = Adoption {
-            machines_epoch: view.machines_epoch,
+        self.sync_machines(view, &scope.terms, scope.now);
+        *self.reconciler.machine_sync.borrow_mut() = MachineSync {
+            machines_change_count: view.machines_change_count,
             terms: scope.terms.clone(),
-            adopted_at: scope.now,
+            synced_at: scope.now,
         };
     }
 
@@ -240,12 +241,12 @@
         let plan = |request: &PlanRequest<'_>| self.plan(view, &scope.terms, request, scope.now);
         let reconciler = &self.reconciler;
         let mut schedule = reconciler.write_schedule.borrow_mut();
-        schedule.decide(&ReconcileInput {
+        schedule.stage_due_writes(&ReconcileInput {
             view,
             ended_attempts: &reconciler.ended_attempts.borrow(),
             jobs_in_flight: &reconciler.jobs_in_flight.borrow(),
             write_budget: self.write_budget(),
-            limits: self.limits(),
+            limits: self.transaction_limits(),
             has_team_limit: &has_team_limit,
             plan: &plan,
             now: scope.now,
@@ -253,7 +254,7 @@
     }
 
     fn write_budget(&self) -> WriteBudget {
-        let (available, burst) = self.watch_cache.client().write_level();
+        let (available, burst) = self.watch_cache.client().write_budget();
         WriteBudget { available, burst }
     }
 
@@ -265,7 +266,7 @@
         if scope.full_sweep || now.saturating_sub(last.get()) >= HEARTBEAT_CHECK_INTERVAL {
             last.set(now);
             self.write_machine_records(now);
-            self.add_overdue_machines(now, &mut scope.changed_machines);
+            self.add_machines_due_for_call(now, &mut scope.changed_machines);
         }
     }
 
@@ -294,12 +295,12 @@
     /// time. After a conflict or without a response, the state is read again first.
     async fn commit(&self, staged: &StagedTransaction) {
         match self.watch_cache.transaction(&staged.transaction).await {
-            TransactionOutcome::Done(_) => {}
+            TransactionOutcome::Committed(_) => {}
             TransactionOutcome::Conflict(keys) => {
                 tracing::debug!(?keys, "transaction conflicts with a newer version");
                 self.watch_cache.linearizable_read().await;
             }
-            TransactionOutcome::Refused(code) => {
+            TransactionOutcome::Rejected(code) => {
                 tracing::debug!(code, "transaction refused by the state service");
                 self.sleep(REFUSAL_RETRY_DELAY).await;
             }
@@ -312,14 +313,14 @@
     }
 
     /// Deletes remaining keys of ended jobs.
-    pub async fn clean(&self) {
+    pub async fn delete_keys_of_ended_jobs(&self) {
         loop {
-            let transaction = collect_garbage(&self.watch_cache.view(), self.limits());
+            let transaction = collect_garbage(&self.watch_cache.view(), self.transaction_limits());
             let Some(transaction) = transaction else {
                 return;
             };
             match self.watch_cache.transaction(&transaction).await {
-                TransactionOutcome::Done(_) => {}
+                TransactionOutcome::Committed(_) => {}
                 _ => return,
             }
             // Continues only with the part of the write budget that no other write needs.
--- a/src/reconciliation/planning.rs
+++ b/src/reconciliation/planning.rs
@@ -8,9 +8,9 @@
 use crate::jobs::commit::JobChange;
 use crate::jobs::model::JobId;
 use crate::membership::shard_of;
-use crate::scheduling::{self, SchedulableMachine, SchedulingInput, Writes};
+use crate::scheduling::{self, SchedulableMachine, SchedulingInput, WriteLimit};
 use crate::store::cluster_state::{ClusterState, Job};
-use crate::time::{Micros, SECOND, wall};
+use crate::time::{Micros, SECOND, wall_clock_now};
 use crate::wire::user::JobKind;
 use crate::workers::{self, WorkerState};
 use std::cell::OnceCell;
@@ -41,7 +41,7 @@
             return Vec::new();
         }
         let machines = self.workers.machines();
-        let place_gangs = request.deadline_steps && terms[GANG_SHARD as usize].is_some();
+        let place_gangs = request.place_deadline_steps && terms[GANG_SHARD as usize].is_some();
         let scope = PlanScope {
             controller: self,
             view,
@@ -49,28 +49,31 @@
             machines: &machines,
             now,
             uses_peer_machines: uses_peer_machines(view, terms, place_gangs),
-            many_inbound_partitions: OnceCell::new(),
+            widespread_inbound_partitions: OnceCell::new(),
         };
         let owns = |name: &str| owns(terms, name);
         let schedulable = |id: &MachineId, record: &MachineRecord| scope.schedulable(id, record);
         let in_backoff = |job: &str| scope.placement_deferred(job);
         let in_flight = self.reconciler.jobs_in_flight.borrow();
-        let busy = |id: &JobId| in_flight.contains(id);
+        let has_transaction_in_flight = |id: &JobId| in_flight.contains(id);
         scheduling::schedule(&SchedulingInput {
             view,
-            wall_clock: wall(),
+            wall_clock: wall_clock_now(),
             teams: &self.settings.teams,
             objectives: &self.settings.objectives,
-            schedulable: &schedulable,
-            freed: request.freed,
+            schedulable_machine: &schedulable,
+            released_resources: request.released_resources,
             in_backoff: &in_backoff,
             owns_job: &owns,
             owns_machine: &owns,
             place_gangs,
-            place_arrays: request.arrays,
-            place_deadline_steps: request.deadline_steps,
+            place_arrays: request.place_arrays,
+            place_deadline_steps: request.place_deadline_steps,
             forecast: false,
-            write_limit: request.max_jobs.map(|jobs| Writes { jobs, busy: &busy }),
+            write_limit: request.max_jobs.map(|max_jobs| WriteLimit {
+                max_jobs,
+                has_transaction_in_flight: &has_transaction_in_flight,
+            }),
         })
         .changes
     }
@@ -105,7 +108,7 @@
     uses_peer_machines: bool,
     /// Whether many machines are in an inbound partition. Computed on first use, which is rare: without
     /// machines in an inbound partition no plan has to iterate over all machines.
-    many_inbound_partitions: OnceCell<bool>,
+    widespread_inbound_partitions: OnceCell<bool>,
 }
 
 impl PlanScope<'_> {
@@ -131,7 +134,10 @@
         }
         let session = match record.state {
             MachineState::Up => record.session,
-            _ => self.controller.membership.ready_at_peer(id, self.now)?,
+            _ => self
+                .controller
+                .membership
+                .ready_session_at_peer(id, self.now)?,
         };
         Some(SchedulableMachine {
             session,
@@ -143,8 +149,8 @@
     fn in_many_inbound_partitions(&self, worker: &WorkerState) -> bool {
         worker.inbound_partition()
             && *self
-                .many_inbound_partitions
-                .get_or_init(|| workers::many_inbound_partitions(self.machines))
+                .widespread_inbound_partitions
+                .get_or_init(|| workers::widespread_inbound_partitions(self.machines))
     }
 
     /// Returns whether the placement of a job is deferred: it is in backoff after failures, or it belongs
@@ -159,7 +165,7 @@
         if owns(self.terms, id) || job.spec.kind == JobKind::Gang {
             return false;
         }
-        wall().saturating_sub(job.waiting_since) < self.takeover_delay(id, job)
+        wall_clock_now().saturating_sub(job.waiting_since) < self.takeover_delay(id, job)
     }
 
     /// Returns the time for which another controller's job waits before this controller places its tasks.
--- a/src/scheduling/gang_reservation.rs
+++ b/src/scheduling/gang_reservation.rs
@@ -50,10 +50,10 @@
         let running = running_by_kind(input.view, &spec.team);
         let all_cpus = running.gangs.cpus + running.arrays.cpus;
         // Gangs are limited to this share: they are large, and arrays would get nothing otherwise.
-        if running.gangs.cpus as f64 > all_cpus as f64 * minimum_share::SHARE {
+        if running.gangs.cpus as f64 > all_cpus as f64 * minimum_share::MINIMUM_SHARE {
             // Arrays take the released quota, so machines provisioned for a gang would be idle.
             if input.forecast {
-                quotas.close_gangs(&spec.team);
+                quotas.block_further_gangs(&spec.team);
             }
         } else if input.forecast {
             quotas.reserve_for_gang(gang.id, spec, true, running.arrays);
@@ -75,7 +75,7 @@
         if job.spec.kind == JobKind::Gang
             && job.queued() == job.spec.task_count
             && age > QUOTA_RESERVATION_DELAY
-            && quotas.binds(&job.spec.team)
+            && quotas.limit_is_binding(&job.spec.team)
         {
             let gang = WaitingGang { age, id, job };
             let first = next.entry(&job.spec.team).or_insert(gang);
@@ -137,7 +137,9 @@
 fn is_up_soon(input: &SchedulingInput<'_>, machine: &MachineRecord, boot_time_s: f64) -> bool {
     match machine.state {
         MachineState::Up => true,
-        MachineState::Booting => machine.rented_at + from_secs(boot_time_s) / 2 < input.wall_clock,
+        MachineState::Booting => {
+            machine.provisioned_at + from_secs(boot_time_s) / 2 < input.wall_clock
+        }
         _ => false,
     }
 }
--- a/src/scheduling/starvation.rs
+++ b/src/scheduling/starvation.rs
@@ -45,7 +45,7 @@
         return;
     }
     let teams = input.teams.iter().map(|team| &*team.name);
-    let scopes = Scopes(teams.filter(|team| quotas.binds(team)).collect());
+    let scopes = Scopes(teams.filter(|team| quotas.limit_is_binding(team)).collect());
     let demands = class_demands(input, &scopes);
     let mut remaining_shares = minimum_shares(input, &demands, quotas);
     prioritize_entries(input, &scopes, &mut remaining_shares, queue);
@@ -78,8 +78,8 @@
     for job in jobs.filter(|job| is_active_array(job)) {
         let demand = demands.entry(scopes.key(job)).or_insert(ClassDemand {
             priority: job.spec.priority,
-            waiting: 0,
-            running: 0,
+            waiting_millicpus: 0,
+            running_millicpus: 0,
             mean_run_time_us: 0.0,
             overdue: false,
         });
--- a/src/workers/commands.rs
+++ b/src/workers/commands.rs
@@ -68,7 +68,7 @@
 ) -> Option<Micros> {
     match view.jobs.get(job) {
         Some(job) if job.cancelled() => Some(0),
-        _ => placement.stop,
+        _ => placement.stop_grace_period,
     }
 }
 
@@ -199,7 +199,7 @@
     }
 
     /// Records that direct commands were acknowledged: all were executed or refused, or none was sent.
-    pub fn acknowledge_direct(&mut self, commands: &[Command]) {
+    pub fn acknowledge_direct_commands(&mut self, commands: &[Command]) {
         for start in started_attempts(commands) {
             self.outstanding.unacknowledged_starts.remove(&start);
         }
--- a/src/workers/machine_records.rs
+++ b/src/workers/machine_records.rs
@@ -5,21 +5,21 @@
 
 use super::backoff::quarantined;
 use super::inbound_partition::{
-    InboundPartition, inbound_partition, many_inbound_partitions, reported_state,
+    InboundPartition, inbound_partition, reported_state, widespread_inbound_partitions,
 };
 use super::liveness::{LivenessCheck, isolated};
 use super::worker_state::WorkerState;
 use crate::autoscaler::model::{MachineRecord, MachineState};
 use crate::autoscaler::{
-    MAX_READY_WRITE_DELAY, MAX_READY_WRITE_DELAY_PEERS_AWARE, declare_dead, put_machine,
+    MAX_READY_WRITE_DELAY, MAX_READY_WRITE_DELAY_WITH_PEER_HEARTBEATS, declare_dead, put_machine,
 };
 use crate::controller::Controller;
 use crate::ids::MachineId;
-use crate::membership::{MAX_READY_MACHINES, shard_of};
+use crate::membership::{MAX_READY_MACHINES_PER_HEARTBEAT, shard_of};
 use crate::store::client::TransactionOutcome;
 use crate::store::cluster_state::ClusterState;
 use crate::store::keys;
-use crate::time::{Micros, SECOND, wall};
+use crate::time::{Micros, SECOND, wall_clock_now};
 use crate::wire::state::Transaction;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -34,7 +34,7 @@
     /// Whether this controller is unreachable for the workers.
     isolated: bool,
     /// Whether there are more inbound partitions than faults of single machines can explain.
-    many_partitioned: bool,
+    widespread_partition: bool,
     /// Maximum number of machines that one write declares dead. `None` while a controller of an older
     /// version could not read such a write; each machine is written separately then.
     max_declared_dead: Option<usize>,
@@ -146,7 +146,7 @@
 
     /// Writes the machine records that differ from their desired content.
     pub fn write_machine_records(self: &Rc<Controller>, now: Micros) {
-        if !self.watch_cache.current() {
+        if !self.watch_cache.is_current() {
             return;
         }
         let writes = self.collect_record_writes(now);
@@ -154,7 +154,7 @@
             let number = self.workers.dead_declaration_count.get() + 1;
             self.workers.dead_declaration_count.set(number);
             let lease = self.membership.lease().unwrap_or(0);
-            let name = format!("{}-{lease}-lost-{number}", self.me());
+            let name = format!("{}-{lease}-lost-{number}", self.node_name());
             let ids = writes.declared_dead;
             let transaction = declare_dead(&self.watch_cache.view(), &name, ids.clone());
             self.commit_record_writes(transaction, ids);
@@ -172,13 +172,13 @@
             view: &view,
             now,
             isolated,
-            many_partitioned: many_inbound_partitions(&machines),
+            widespread_partition: widespread_inbound_partitions(&machines),
             max_declared_dead: self
-                .limits()
-                .newer_layout
-                .then(|| self.machines_per_request()),
+                .transaction_limits()
+                .write_newer_layout
+                .then(|| self.max_machines_per_request()),
             max_up_write_delay: max_up_write_delay(&view, &machines),
-            budget: WriteBudget::from_level(self.watch_cache.client().write_level()),
+            budget: WriteBudget::from_level(self.watch_cache.client().write_budget()),
         };
         let max_mutations = self.state_limits().max_mutations;
         let being_written = self.workers.machines_being_written.borrow();
@@ -218,7 +218,7 @@
         }
         let has_tasks = self.watch_cache.view().tasks_on(id).is_some();
         let check = LivenessCheck {
-            lost_after: self.policy.lost_after,
+            heartbeat_timeout: self.policy.heartbeat_timeout,
             now,
             isolated: round.isolated,
         };
@@ -243,7 +243,7 @@
         // A deleted record belonged to a machine that was terminated and no longer exists, however
         // recent its last message is. If it were recorded again, tasks would be placed there and never
         // start.
-        let terminated = self.watch_cache.view().deleted(&keys::machine(id));
+        let terminated = self.watch_cache.view().is_deleted(&keys::machine(id));
         let fenced_at = worker.heartbeat.fenced_at;
         let fenced_long_enough =
             fenced_at.is_some_and(|at| now.saturating_sub(at) > MAX_READY_WRITE_DELAY);
@@ -261,7 +261,7 @@
             address: Some(description.address),
             session: worker.session,
             state: MachineState::Up,
-            rented_at: wall(),
+            provisioned_at: wall_clock_now(),
         })
     }
 
@@ -279,7 +279,7 @@
             desired.address = Some(description.address.clone());
         }
         let lease = self.settings.worker_lease;
-        let partition = inbound_partition(worker, round.many_partitioned, lease, now);
+        let partition = inbound_partition(worker, round.widespread_partition, lease, now);
         if partition == InboundPartition::Replace {
             let without_heartbeat_for_ms =
                 now.saturating_sub(worker.heartbeat.last_heartbeat_at) / 1000;
@@ -312,8 +312,8 @@
         self.executor
             .spawn(async move {
                 match controller.watch_cache.transaction(&transaction).await {
-                    TransactionOutcome::Done(_) => {}
-                    TransactionOutcome::Refused(_) => controller.sleep(REFUSAL_RETRY_DELAY).await,
+                    TransactionOutcome::Committed(_) => {}
+                    TransactionOutcome::Rejected(_) => controller.sleep(REFUSAL_RETRY_DELAY).await,
                     _ => {
                         controller.watch_cache.linearizable_read().await;
                     }
@@ -339,8 +339,8 @@
         record.is_some_and(|r| r.state == MachineState::Booting)
     };
     let booting = machines.keys().filter(is_booting).count();
-    match view.layout.is_some() && booting <= MAX_READY_MACHINES {
-        true => MAX_READY_WRITE_DELAY_PEERS_AWARE,
+    match view.layout.is_some() && booting <= MAX_READY_MACHINES_PER_HEARTBEAT {
+        true => MAX_READY_WRITE_DELAY_WITH_PEER_HEARTBEATS,
         false => MAX_READY_WRITE_DELAY,
     }
 }
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -48,7 +48,7 @@
         attempt,
         machine: "m".into(),
         session: 1,
-        stop: None,
+        stop_grace_period: None,
     })
 }
 
@@ -90,7 +90,7 @@
         address: None,
         session: 1,
         state: crate::autoscaler::model::MachineState::Up,
-        rented_at: 0,
+        provisioned_at: 0,
     };
     cluster.put(&keys::machine("m"), &to_value(&record), 3);
 }
@@ -117,7 +117,7 @@
         worker.blocked_by_unacknowledged_start(),
         "only a higher term makes the start impossible"
     );
-    worker.acknowledge_direct(&direct);
+    worker.acknowledge_direct_commands(&direct);
     assert!(matches!(
         commands(&over, &id, &mut worker, CommandChannel::HeartbeatAnswer).as_slice(),
         [Command::Forget { .. }]
@@ -212,7 +212,7 @@
     let worker = WorkerState::new(5, 100 * SECOND);
     let lost = |state, has_tasks, now| {
         let check = LivenessCheck {
-            lost_after: 5 * SECOND,
+            heartbeat_timeout: 5 * SECOND,
             now,
             isolated: false,
         };
--- a/tests/partitioned_machines.rs
+++ b/tests/partitioned_machines.rs
@@ -8,8 +8,8 @@
 use coppergw::time::{Micros, SECOND};
 use coppergw::wire::worker::Heartbeat;
 use coppergw::workers::{
-    HeartbeatSource, InboundPartition, WorkerState, inbound_partition, many_inbound_partitions,
-    reported_state, schedulable_session,
+    HeartbeatSource, InboundPartition, WorkerState, inbound_partition, reported_state,
+    schedulable_session, widespread_inbound_partitions,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -217,7 +217,7 @@
     /// While many machines are partitioned, the cause is not in the machines: none is drained or replaced for it, and
     /// tasks are still placed on them, since no machine is better suited.
     #[test]
-    fn many_partitioned_machines_are_left_unchanged(machine_count in 2usize..60, partitioned_percent in 0usize..=100) {
+    fn widespread_partition_leaves_machines_unchanged(machine_count in 2usize..60, partitioned_percent in 0usize..=100) {
         let partitioned = machine_count * partitioned_percent / 100;
         let mut machines: BTreeMap<MachineId, WorkerState> = BTreeMap::new();
         for index in 0..machine_count {
@@ -229,13 +229,13 @@
             }
             machines.insert(format!("m-{index}").into(), worker_state);
         }
-        let many_partitioned = many_inbound_partitions(&machines);
-        prop_assert_eq!(many_partitioned, partitioned >= 2 && partitioned * 3 > machine_count);
+        let widespread_partition = widespread_inbound_partitions(&machines);
+        prop_assert_eq!(widespread_partition, partitioned >= 2 && partitioned * 3 > machine_count);
         let now = 174 * SECOND;
         for worker_state in machines.values() {
-            let action = inbound_partition(worker_state, many_partitioned, LEASE_DURATION, now);
-            prop_assert_eq!(action, if worker_state.inbound_partition() && !many_partitioned { InboundPartition::Replace } else { InboundPartition::None });
-            prop_assert_eq!(schedulable_session(worker_state, 1, many_partitioned, (HEARTBEAT_INTERVAL, now)).is_some(), many_partitioned || !worker_state.inbound_partition());
+            let action = inbound_partition(worker_state, widespread_partition, LEASE_DURATION, now);
+            prop_assert_eq!(action, if worker_state.inbound_partition() && !widespread_partition { InboundPartition::Replace } else { InboundPartition::None });
+            prop_assert_eq!(schedulable_session(worker_state, 1, widespread_partition, (HEARTBEAT_INTERVAL, now)).is_some(), widespread_partition || !worker_state.inbound_partition());
         }
     }
 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -6,8 +6,8 @@
 mod common;
 
 use coppergw::autoscaler::model::{MachineRecord, MachineState, ScaleOutRequest};
-use coppergw::autoscaler::reconciler::shrink_scale_out_request;
-use coppergw::fairness::rounds::fitting;
+use coppergw::autoscaler::reconciler::close_scale_out_request;
+use coppergw::fairness::rounds::truncate_to_size;
 use coppergw::ids::MachineId;
 use coppergw::jobs::commit::{
     JobChange, TransactionLimits, accept_submission, cancel, collect_garbage, stage,
@@ -16,8 +16,8 @@
     FinishedJob, JobId, JobIdList, JobRecord, JobSpec, Placement, Resources, StoredBlock,
     TaskBlock, TaskState,
 };
-use coppergw::jobs::pipelines::{DependencyCheck, answer, check_dependencies};
-use coppergw::membership::{LAYOUT_VERSION, Member, Version, all_support_layout};
+use coppergw::jobs::pipelines::{DependencyCheck, check_dependencies, job_answer};
+use coppergw::membership::{LAYOUT_VERSION, LayoutVersion, Member, all_support_layout};
 use coppergw::store::cluster_state::ClusterState;
 use coppergw::store::keys;
 use coppergw::wire::state::{Mutation, Transaction};
@@ -115,9 +115,9 @@
             transaction.preconditions.len()
         );
         assert!(
-            transaction.largest() <= max_value_bytes,
+            transaction.largest_value_bytes() <= max_value_bytes,
             "a value of {} bytes",
-            transaction.largest()
+            transaction.largest_value_bytes()
         );
         assert!(json_size(transaction) <= 64 * 1024);
     }
@@ -214,8 +214,8 @@
             max_merged_mutations: 8,
             max_bytes: 48 * 1024,
             max_value_bytes: value_limit - 48,
-            newer_layout: layout,
-            packed: layout,
+            write_newer_layout: layout,
+            write_packed_blocks: layout,
             wall_clock: self.wall_clock,
         }
     }
@@ -237,7 +237,10 @@
     fn restart(&mut self, controller: usize, new_version: bool) {
         let mut view = ClusterState::default();
         for (key, (value, version)) in &self.store.keys {
-            if keys::LOADED.iter().any(|prefix| key.starts_with(prefix)) {
+            if keys::INITIAL_LOAD_PREFIXES
+                .iter()
+                .any(|prefix| key.starts_with(prefix))
+            {
                 view.put(key, value, *version);
             }
         }
@@ -250,22 +253,22 @@
         if new_version {
             self.put(
                 keys::version(&controller_name(controller)),
-                &Version {
-                    version: LAYOUT_VERSION,
+                &LayoutVersion {
+                    layout_version: LAYOUT_VERSION,
                 },
             );
         }
         let members = (0..CONTROLLER_COUNT).map(|controller| {
-            let version = if self.controllers[controller].new_version {
+            let layout_version = if self.controllers[controller].new_version {
                 LAYOUT_VERSION
             } else {
                 0
             };
             let member = Member {
                 lease: 1,
-                since: 0,
+                joined_at: 0,
                 unreachable_by_workers: false,
-                version,
+                layout_version,
                 restart_count: 0,
             };
             (controller_name(controller), member)
@@ -279,8 +282,8 @@
         {
             self.put(
                 keys::LAYOUT.into(),
-                &Version {
-                    version: LAYOUT_VERSION,
+                &LayoutVersion {
+                    layout_version: LAYOUT_VERSION,
                 },
             );
         }
@@ -394,7 +397,7 @@
         if let Some(finished) = finished {
             self.controllers[controller]
                 .view
-                .remember_finished_job(&id.into(), finished);
+                .cache_finished_job(&id.into(), finished);
         }
         finished.is_some()
     }
@@ -457,7 +460,8 @@
     /// Returns the status of a job as a user receives it.
     fn poll(&mut self, controller: usize, id: &str) -> Option<Status> {
         let is_final = |s: Status| matches!(s, Status::Done | Status::Cancelled);
-        let mut status = answer(&self.controllers[controller].view, id).map(|answer| answer.status);
+        let mut status =
+            job_answer(&self.controllers[controller].view, id).map(|answer| answer.status);
         if !status.is_some_and(is_final) {
             if status.is_none() {
                 self.read_finished_job(controller, id);
@@ -469,7 +473,7 @@
                     "neither unfinished nor finished: {ancestor}"
                 );
             }
-            status = answer(&self.controllers[controller].view, id).map(|answer| answer.status);
+            status = job_answer(&self.controllers[controller].view, id).map(|answer| answer.status);
         }
         let status = status.expect("forgotten");
         let cancelled = self.store.cancelled(&self.dependencies, id);
@@ -521,7 +525,7 @@
             // Placement is attempted for every job: the preconditions must reject those that may not start
             // yet.
             let waiting: Vec<u32> = job
-                .slots()
+                .task_states()
                 .filter(|(_, s)| matches!(s, TaskState::Waiting(_)))
                 .map(|(task, _)| task)
                 .collect();
@@ -617,7 +621,7 @@
                     .swap_remove(usize::from(second) % self.delayed.len());
                 if self.store.limits == INITIAL_LIMITS {
                     self.apply_and_check(&transaction);
-                } else if transaction.largest() <= LOWERED_LIMITS.0
+                } else if transaction.largest_value_bytes() <= LOWERED_LIMITS.0
                     && transaction.mutations.len() <= LOWERED_LIMITS.1
                 {
                     // The state service rejects a larger one after its limits were lowered.
@@ -712,7 +716,7 @@
                 attempt: *attempt,
                 machine: format!("m-{machine}").into(),
                 session: *session,
-                stop: (*kind == 3).then_some(6_000_000),
+                stop_grace_period: (*kind == 3).then_some(6_000_000),
             }),
         }).collect());
         for form in [StoredBlock::Plain(block.clone()), StoredBlock::Packed(block.clone()), StoredBlock::Split(64)] {
@@ -727,7 +731,7 @@
             attempt: 1 + index % 3,
             machine: format!("m-{index:06}").into(),
             session: 1,
-            stop: None,
+            stop_grace_period: None,
         })
     };
     TaskBlock((0..tasks).map(place).collect())
@@ -859,8 +863,8 @@
 #[test]
 fn a_scale_out_request_shrinks_in_steps() {
     let limits = coppergw::settings::StateLimits {
-        rps: 1.0,
-        write_rps: 1.0,
+        requests_per_s: 1.0,
+        writes_per_s: 1.0,
         max_value_bytes: 2048,
         max_mutations: 5,
     };
@@ -880,21 +884,21 @@
         1,
     );
     assert!(
-        shrink_scale_out_request(&view, limits).is_none(),
+        close_scale_out_request(&view, limits).is_none(),
         "no machine has its own key yet"
     );
     for (index, name) in names.iter().enumerate() {
         let record = MachineRecord {
             state: MachineState::Up,
-            ..scale_out_request.machine()
+            ..scale_out_request.initial_machine_record()
         };
         view.put(&keys::machine(name), &to_value(&record), 2 + index as u64);
     }
     for rev in 100.. {
-        let Some(transaction) = shrink_scale_out_request(&view, limits) else {
+        let Some(transaction) = close_scale_out_request(&view, limits) else {
             break;
         };
-        assert!(transaction.preconditions.len() <= limits.preconditions());
+        assert!(transaction.preconditions.len() <= limits.max_preconditions());
         match &transaction.mutations[0] {
             Mutation::Put {
                 key: written_key,
@@ -913,22 +917,22 @@
 fn oversized_maps_keep_the_highest_values() {
     let all: BTreeMap<String, (u32, u32)> =
         (0..500).map(|i| (format!("req-{i:06}"), (i, 2))).collect();
-    let kept = fitting(all.clone(), 2000, &|_, (n, _)| *n);
+    let kept = truncate_to_size(all.clone(), 2000, &|_, (n, _)| *n);
     assert!(json_size(&kept) <= 2000 && kept.len() > 60);
     assert!(kept.values().all(|(n, _)| *n >= 500 - kept.len() as u32));
-    assert_eq!(fitting(all.clone(), 32_000, &|_, (n, _)| *n), all);
+    assert_eq!(truncate_to_size(all.clone(), 32_000, &|_, (n, _)| *n), all);
 }
 
 /// No controller uses the newer layout until every controller has recorded durably that it supports it: one
 /// that stopped before its upgrade restarts with the old version, whichever members are alive at the time.
 #[test]
 fn the_layout_changes_only_when_all_controllers_support_it() {
-    let version = |n: u32| Version { version: n };
-    let member = |version| Member {
+    let version = |n: u32| LayoutVersion { layout_version: n };
+    let member = |layout_version| Member {
         lease: 1,
-        since: 0,
+        joined_at: 0,
         unreachable_by_workers: false,
-        version,
+        layout_version,
         restart_count: 0,
     };
     let names = ["a", "b", "c"];
@@ -969,8 +973,8 @@
         done: 1,
         finished_at: 5,
     };
-    view.remember_finished_job(&"req-3".into(), finished_job(false));
-    view.remember_finished_job(&"req-4".into(), finished_job(true));
+    view.cache_finished_job(&"req-3".into(), finished_job(false));
+    view.cache_finished_job(&"req-4".into(), finished_job(true));
     let check = |names: &[&str]| {
         let names: Vec<String> = names.iter().map(|s| s.to_string()).collect();
         check_dependencies(&view, "req-9", &names)
@@ -987,8 +991,8 @@
         check(&["req-5", "req-1"]),
         DependencyCheck::Unknown(vec!["req-5".into()])
     );
-    assert!(matches!(check(&["req-9"]), DependencyCheck::Impossible(_)));
-    assert!(matches!(check(&["req-2"]), DependencyCheck::Impossible(_)));
+    assert!(matches!(check(&["req-9"]), DependencyCheck::Infeasible(_)));
+    assert!(matches!(check(&["req-2"]), DependencyCheck::Infeasible(_)));
 }
 
 /// The ancestors of the last job of a pipeline inherit its priority and deadline; the waiting time of a job
@@ -1024,7 +1028,7 @@
             .is_some_and(|d| d < due - 2 * last.estimated_run_time)
     );
     assert!(view.jobs["req-4"].ready && !view.jobs["req-3"].ready);
-    view.remember_finished_job(
+    view.cache_finished_job(
         &"req-4".into(),
         FinishedJob {
             cancelled: false,
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -9,7 +9,7 @@
 use coppergw::ids::MachineId;
 use coppergw::jobs::commit::{JobChange, stage};
 use coppergw::jobs::model::{JobRecord, JobSpec, Resources, TaskBlock, TaskState};
-use coppergw::membership::{SHARD_COUNT, Shard, hash, shard_of};
+use coppergw::membership::{SHARD_COUNT, Shard, shard_of, stable_hash};
 use coppergw::policy::Policy;
 use coppergw::scheduling::pending_reason::{PendingReason, pending_reason};
 use coppergw::scheduling::{SchedulableMachine, Schedule, SchedulingInput, schedule};
@@ -68,7 +68,7 @@
             now: 500 * SECOND,
         };
         let types = vec![machine_type("cpu", 16.0, 0.0)];
-        cluster.store.put(keys::TYPES.into(), &types);
+        cluster.store.put(keys::MACHINE_TYPES.into(), &types);
         for index in 0..SHARD_COUNT {
             let shard = Shard {
                 owner: format!("n{}", index % 3),
@@ -127,14 +127,14 @@
             wall_clock: self.now,
             teams: &self.teams,
             objectives: &[],
-            schedulable: &|id, record| {
+            schedulable_machine: &|id, record| {
                 let up = record.state == MachineState::Up && (forecast || is_owned(id));
                 up.then_some(SchedulableMachine {
                     session: record.session,
                     owned: is_owned(id),
                 })
             },
-            freed: &HashMap::new(),
+            released_resources: &HashMap::new(),
             // A service whose owner has no free capacity, or no machine left, is placed by the other
             // controllers.
             in_backoff: &|id| !is_owned(id) && cluster_state.jobs[id].spec.kind != JobKind::Service,
@@ -165,10 +165,10 @@
             objectives: &[],
             teams: &self.teams,
             wall_clock: self.now,
-            refused: &|_, _, _| false,
+            recently_refused: &|_, _, _| false,
             idle_since: &HashMap::new(),
-            machines_per_request: 50,
-            known_up: &|_| false,
+            max_machines_per_request: 50,
+            is_known_ready: &|_| false,
         })
     }
 
@@ -225,7 +225,7 @@
         let plan = cluster.plan(&view, None, true);
         let mut missing_cpus = 0;
         let mut machines_filled = 0.0;
-        for (id, count) in &plan.unplaced {
+        for (id, count) in &plan.unplaced_tasks {
             let spec = &view.jobs[id].spec;
             let tasks_per_machine = Resources::of_machine(&machine_type("cpu", 16.0, 0.0)).count_fitting(&spec.resources).max(1);
             machines_filled += f64::from(*count) / tasks_per_machine as f64;
@@ -234,11 +234,11 @@
             }
         }
         // The team's arrays yield quota to a waiting gang that the limit admits.
-        let gangs = plan.unplaced.iter().any(|(id, _)| view.jobs[id].spec.kind == JobKind::Gang);
+        let gangs = plan.unplaced_tasks.iter().any(|(id, _)| view.jobs[id].spec.kind == JobKind::Gang);
         prop_assert!(gangs || used_cpus(&view, "capped") + missing_cpus <= limit * THOUSANDTHS_PER_UNIT, "{missing_cpus}");
         let decision = cluster.scaling_decision(&view, &plan);
         let machines_added: u32 = decision.scale_out.iter().map(|c| c.count).sum();
-        let starved: u32 = plan.starved.values().sum();
+        let starved: u32 = plan.starved_tasks.values().sum();
         // The capacity reserve for services comes on top: at most the size of the largest service.
         prop_assert!(f64::from(machines_added) <= machines_filled + f64::from(starved) + 8.0, "{machines_added} machines added, {machines_filled} needed");
     }
@@ -261,8 +261,8 @@
     cluster.job("req-000003", &backlog);
     let view = cluster.view();
     let plan = cluster.plan(&view, None, true);
-    assert_eq!(plan.unplaced, vec![]);
-    let limited: u32 = plan.limited_by_quota.values().sum();
+    assert_eq!(plan.unplaced_tasks, vec![]);
+    let limited: u32 = plan.quota_limited_tasks.values().sum();
     assert_eq!(limited, 1199, "the quota admits one more task");
     let id = "req-000003".into();
     let reason = pending_reason(&plan, &id, &view.jobs[&id], false, 0);
@@ -382,7 +382,7 @@
                 failed_machines.entry(format!("m-{machine:06}").as_str().into()).or_insert(step);
             }
             for (controller, view) in views.iter_mut().enumerate() {
-                let lag = hash(&format!("{seed}/{step}/{controller}")) % 6;
+                let lag = stable_hash(&format!("{seed}/{step}/{controller}")) % 6;
                 cluster.catch_up(view, cluster.store.rev.saturating_sub(lag).max(view.revision));
             }
             for controller in 0..3u32 {
@@ -396,7 +396,7 @@
                     let removed = failed_machines.get(machine).map(|at| step > at + 3);
                     for ((id, index), placement) in tasks {
                         let service = view.jobs[id].spec.kind == JobKind::Service;
-                        let draw = hash(&format!("{seed}/{step}/{id}/{index}")) % 5;
+                        let draw = stable_hash(&format!("{seed}/{step}/{id}/{index}")) % 5;
                         let done = removed.is_none() && !service && draw == 0;
                         if done || removed == Some(true) {
                             let (job, attempt) = (id.clone(), placement.attempt);
@@ -424,7 +424,7 @@
             }
             cluster.catch_up(&mut current, u64::MAX);
             low_starts = current.jobs.iter().filter(|(id, _)| id.starts_with("req-2")).map(|(_, job)| {
-                job.slots().filter(|(_, s)| !matches!(s, TaskState::Waiting(0))).count()
+                job.task_states().filter(|(_, s)| !matches!(s, TaskState::Waiting(0))).count()
             }).sum();
         }
         prop_assert!(low_starts >= 6, "only {low_starts} starts of low priority");
@@ -447,7 +447,7 @@
             attempt: 1,
             machine: machine.into(),
             session: 1,
-            stop: None,
+            stop_grace_period: None,
         })
     };
     let cancelled_job = JobSpec {
@@ -503,7 +503,7 @@
         machine_type("cpu", 16.0, 0.0),
         machine_type("gpu", 24.0, 2.0),
     ];
-    cluster.store.put(keys::TYPES.into(), &types);
+    cluster.store.put(keys::MACHINE_TYPES.into(), &types);
     let machine = |state| MachineRecord {
         machine_type: "gpu".into(),
         zone: "a".into(),
@@ -511,7 +511,7 @@
         address: None,
         session: 1,
         state,
-        rented_at: 0,
+        provisioned_at: 0,
     };
     for index in 0..40 {
         cluster.store.put(
@@ -566,6 +566,7 @@
         revision: view.revision + 8,
         ..ServiceLevels::default()
     };
-    let next = other_leader.with(view.recent_job_ends().cloned(), view.revision + 20, 1000);
+    let next =
+        other_leader.with_job_ends(view.recent_job_ends().cloned(), view.revision + 20, 1000);
     assert!(next.ended.is_empty());
 }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -9,7 +9,7 @@
 use coppergw::jobs::model::{JobId, JobRecord, JobSpec, Resources, TaskBlock};
 use coppergw::membership::{SHARD_COUNT, Shard};
 use coppergw::scheduling::{
-    SchedulableMachine, SchedulingInput, Writes, machine_allowed, schedule,
+    SchedulableMachine, SchedulingInput, WriteLimit, machine_allowed, schedule,
 };
 use coppergw::settings::Team;
 use coppergw::store::cluster_state::ClusterState;
@@ -72,7 +72,7 @@
                 2 => MachineState::Closing,
                 _ => MachineState::Up,
             },
-            rented_at: 0,
+            provisioned_at: 0,
         }
     })
 }
@@ -136,20 +136,23 @@
     schedule_limited(view, None)
 }
 
-fn schedule_limited(cluster_state: &ClusterState, writes: Option<Writes<'_>>) -> Vec<JobChange> {
+fn schedule_limited(
+    cluster_state: &ClusterState,
+    writes: Option<WriteLimit<'_>>,
+) -> Vec<JobChange> {
     let teams = teams();
     schedule(&SchedulingInput {
         view: cluster_state,
         wall_clock: 500 * SECOND,
         teams: &teams,
         objectives: &[],
-        schedulable: &|_, machine| {
+        schedulable_machine: &|_, machine| {
             (machine.state == MachineState::Up).then_some(SchedulableMachine {
                 session: machine.session,
                 owned: true,
             })
         },
-        freed: &HashMap::new(),
+        released_resources: &HashMap::new(),
         in_backoff: &|_| false,
         owns_job: &|_| true,
         owns_machine: &|_| true,
@@ -237,7 +240,7 @@
             revision += 1;
             view.put(key, value, revision);
         };
-        put(&mut view, keys::TYPES, &to_value(&types()));
+        put(&mut view, keys::MACHINE_TYPES, &to_value(&types()));
         for index in 0..SHARD_COUNT {
             let shard = Shard { owner: "n".into(), lease: 1, term: 1 };
             put(&mut view, &keys::shard(index), &to_value(&shard));
@@ -248,7 +251,7 @@
         for (index, spec) in specs.iter().enumerate() {
             put(&mut view, &keys::job(&format!("req-{index}")), &record(spec));
         }
-        let limits = TransactionLimits { max_mutations: 16, max_merged_mutations: 16, max_bytes: 48_000 , max_value_bytes: 32_000, newer_layout: false, packed: false, wall_clock: 0};
+        let limits = TransactionLimits { max_mutations: 16, max_merged_mutations: 16, max_bytes: 48_000 , max_value_bytes: 32_000, write_newer_layout: false, write_packed_blocks: false, wall_clock: 0};
         for _ in 0..4 {
             let changes = schedule_changes(&view);
             let staged_transactions = stage(&view, &changes, &HashSet::new(), &|t| t == "capped", limits);
@@ -276,7 +279,7 @@
 fn services_preempt_lower_priorities() {
     let changes_for_service = |job_priority| {
         let mut view = ClusterState::default();
-        view.put(keys::TYPES, &to_value(&types()), 1);
+        view.put(keys::MACHINE_TYPES, &to_value(&types()), 1);
         let machine = common::up("small");
         view.put(&keys::machine("m-1"), &to_value(&machine), 2);
         let running_job = JobSpec {
@@ -333,7 +336,7 @@
         revision += 1;
         view.put(&key, &value, revision);
     };
-    put(&mut view, keys::TYPES.into(), to_value(&types()));
+    put(&mut view, keys::MACHINE_TYPES.into(), to_value(&types()));
     let machine = |state| MachineRecord {
         machine_type: "small".into(),
         zone: "a".into(),
@@ -341,7 +344,7 @@
         address: None,
         session: 1,
         state,
-        rented_at: 0,
+        provisioned_at: 0,
     };
     for id in ["m-1", "m-2"] {
         put(
@@ -468,7 +471,7 @@
 #[test]
 fn a_write_limited_schedule_is_a_prefix() {
     let mut view = ClusterState::default();
-    view.put(keys::TYPES, &to_value(&types()), 1);
+    view.put(keys::MACHINE_TYPES, &to_value(&types()), 1);
     for index in 0..20 {
         let machine = common::up("small");
         view.put(
@@ -509,8 +512,15 @@
     let services = placed(&full, JobKind::Service);
     let arrays = placed(&full, JobKind::Array);
     assert_eq!((services.len(), arrays.len()), (10, 10));
-    let schedule_few =
-        |jobs, busy: &dyn Fn(&JobId) -> bool| schedule_limited(&view, Some(Writes { jobs, busy }));
+    let schedule_few = |max_jobs, has_transaction_in_flight: &dyn Fn(&JobId) -> bool| {
+        schedule_limited(
+            &view,
+            Some(WriteLimit {
+                max_jobs,
+                has_transaction_in_flight,
+            }),
+        )
+    };
     let limited = schedule_few(3, &|_| false);
     assert_eq!(placed(&limited, JobKind::Array), arrays[..3]);
     assert_eq!(placed(&limited, JobKind::Service), services[..3]);
@@ -523,7 +533,7 @@
 /// since their submission.
 fn waiting_jobs(kind: JobKind, jobs: &[(u32, u64)]) -> ClusterState {
     let mut view = ClusterState::default();
-    view.put(keys::TYPES, &to_value(&types()), 1);
+    view.put(keys::MACHINE_TYPES, &to_value(&types()), 1);
     let shard = Shard {
         owner: "n".into(),
         lease: 1,
--- a/tests/zones.rs
+++ b/tests/zones.rs
@@ -26,7 +26,7 @@
         let mut store = Store::default();
         let mut cpu_type = machine_type("cpu", 16.0, 0.0);
         cpu_type.zones = vec!["a".into(), "b".into(), "c".into()];
-        store.put(keys::TYPES.into(), &vec![cpu_type]);
+        store.put(keys::MACHINE_TYPES.into(), &vec![cpu_type]);
         TestCluster(store)
     }
 
@@ -66,10 +66,10 @@
             objectives: &[],
             teams: &[],
             wall_clock: NOW,
-            refused: &|_, zone, spot| refused(zone, spot),
+            recently_refused: &|_, zone, spot| refused(zone, spot),
             idle_since: &HashMap::new(),
-            machines_per_request: 50,
-            known_up: &|_| false,
+            max_machines_per_request: 50,
+            is_known_ready: &|_| false,
         })
     }
 }
@@ -80,14 +80,14 @@
         wall_clock: NOW,
         teams: &[],
         objectives: &[],
-        schedulable: &|_, record| {
+        schedulable_machine: &|_, record| {
             let usable = matches!(record.state, MachineState::Up | MachineState::Booting);
             usable.then_some(SchedulableMachine {
                 session: record.session,
                 owned: true,
             })
         },
-        freed: &HashMap::new(),
+        released_resources: &HashMap::new(),
         in_backoff: &|_| false,
         owns_job: &|_| true,
         owns_machine: &|_| true,
@@ -178,7 +178,7 @@
         attempt: 1,
         machine: machine.into(),
         session: 1,
-        stop: None,
+        stop_grace_period: None,
     })
 }
 
@@ -295,7 +295,7 @@
         let zones_without_room: Vec<&str> = {
             let forecast = forecast(&view);
             let zone = |id: &str| view.jobs[id].spec.zone.as_deref();
-            names.into_iter().filter(|z| forecast.unplaced.iter().any(|(id, _)| zone(id) == Some(z))).collect()
+            names.into_iter().filter(|z| forecast.unplaced_tasks.iter().any(|(id, _)| zone(id) == Some(z))).collect()
         };
         let decision = cluster.decide(&|_, _| false);
         for zone in names {
