--- a/tests/command_line.rs
+++ b/tests/command_line.rs
@@ -32,11 +32,11 @@
         node: NODE_ADDRESS.parse().expect("address"),
         id: "req-7".into(),
     });
-    for name in ["cancel", "withdraw"] {
+    for word in ["cancel", "withdraw"] {
         assert_eq!(
-            parse(&[name, "--node", NODE_ADDRESS, "req-7"]),
+            parse(&[word, "--node", NODE_ADDRESS, "req-7"]),
             expected,
-            "{name}"
+            "{word}"
         );
     }
 }
@@ -62,9 +62,9 @@
             "/inspect/served",
         ),
     ];
-    for (topic, names, path) in table {
-        for name in names {
-            assert_eq!(inspect(name), topic, "{name}");
+    for (topic, words, path) in table {
+        for word in words {
+            assert_eq!(inspect(word), topic, "{word}");
         }
         assert_eq!(topic.path(), path);
     }
@@ -81,8 +81,8 @@
     for name in ["- shards", "- service-levels"] {
         assert!(inspect.contains(name), "{name}: {inspect}");
     }
-    for name in ["parts", "served"] {
-        assert!(!inspect.contains(name), "{name}: {inspect}");
+    for word in ["parts", "served"] {
+        assert!(!inspect.contains(word), "{word}: {inspect}");
     }
 }
 
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -157,7 +157,7 @@
     assert!(parse_error("[deployment.cloud]", &next("txn_ops = 3")).contains("next.txn_ops"));
     let text = SETTINGS.replace("[deployment.cloud]", &next("value_kb = 2.0"));
     let settings = Settings::parse("s.toml", &text).expect("each limit is optional");
-    let next = settings.next_state_limits.expect("limits announced");
+    let next = settings.next_state_limits.expect("announced");
     assert_eq!(
         (next.max_value_bytes, next.max_mutations),
         (2048, settings.state_limits.max_mutations)
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -88,15 +88,15 @@
     fn check_round_trip(
         &self,
         name: &str,
-        extension: &str,
+        ending: &str,
         files: FileSet,
         reencode: &dyn Fn(&[u8]) -> Vec<u8>,
     ) {
-        let full = format!("{name}.full.{extension}");
+        let full = format!("{name}.full.{ending}");
         self.assert_same(&full, &reencode(&self.bytes(&full)));
         if files == FullAndSparse {
-            let least = format!("{name}.least.{extension}");
-            let sparse = format!("{name}.sparse.{extension}");
+            let least = format!("{name}.least.{ending}");
+            let sparse = format!("{name}.sparse.{ending}");
             self.assert_same(&least, &reencode(&self.bytes(&sparse)));
             self.assert_same(&least, &reencode(&self.bytes(&least)));
         }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -41,8 +41,7 @@
     std::fs::create_dir_all(&directory).expect("directory");
     let cargo = directory.join("cargo");
     std::fs::write(&cargo, FAKE_CARGO_SCRIPT).expect("written");
-    std::fs::set_permissions(&cargo, std::fs::Permissions::from_mode(0o755))
-        .expect("permissions set");
+    std::fs::set_permissions(&cargo, std::fs::Permissions::from_mode(0o755)).expect("allowed");
     let list = directory.join("KNOWN-RED.txt");
     if let Some(text) = known_red {
         std::fs::write(&list, text).expect("written");
