--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -2,6 +2,7 @@
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
+use std::sync::{Mutex, PoisonError};
 
 /// Stand-in for cargo with three tests, of which `b` fails. It logs the arguments of each call.
 const FAKE_CARGO_SCRIPT: &str = r#"#!/usr/bin/env bash
@@ -14,6 +15,10 @@
 esac
 "#;
 
+/// Held while a script is written and run. Without it, a process started by another thread may inherit the script's
+/// open file for a moment, and running the script fails with "text file busy".
+static SCRIPT_RUN: Mutex<()> = Mutex::new(());
+
 /// Result of a run of `.ci/test` with the stand-in for cargo.
 struct ScriptRun {
     directory: PathBuf,
@@ -36,6 +41,7 @@
 /// Runs `.ci/test` with this content of KNOWN-RED.txt, or without the file.
 fn run(name: &str, known_red: Option<&str>) -> ScriptRun {
     use std::os::unix::fs::PermissionsExt;
+    let _running = SCRIPT_RUN.lock().unwrap_or_else(PoisonError::into_inner);
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("known-red-{name}"));
     let _ = std::fs::remove_dir_all(&directory);
     std::fs::create_dir_all(&directory).expect("directory");
