--- a/src/membership/cancellation_watermark.rs
+++ b/src/membership/cancellation_watermark.rs
@@ -23,8 +23,8 @@
 use crate::wire::user::is_valid_job_id;
 use foldhash::HashMap;
 
-/// Time for which a controller that cannot reach the state service confirms no cancellation. Longer than a
-/// restart of the process takes; users who cancel a job retry about every second.
+/// Time for which a controller that grants a hold confirms no cancellation. Longer than a restart of the
+/// process takes; users who cancel a job retry about every second.
 pub const CONFIRMATION_HOLD_TIME: Micros = 12 * SECOND;
 
 /// Maximum number of cancellations in a digest; bounds its size. A longer digest is truncated and does not
@@ -138,8 +138,8 @@
 }
 
 impl CancellationWatermarks {
-    /// Records a peer's response. Returns the cancellations to apply, each with a revision by which it was
-    /// made.
+    /// Records a peer's response. Returns the cancellations to apply, each with a revision at or before
+    /// which it was made.
     ///
     /// A response from a peer that reaches the state service does not advance the watermark: if this
     /// controller does not reach the service, such a peer takes over its shards, and this controller has to
@@ -173,8 +173,8 @@
     }
 
     /// Returns the time before which every cancellation that any controller may have confirmed is in this
-    /// controller's view: the start of its latest complete read, `last_read_at`, or the oldest of the times
-    /// guaranteed by the peers, whichever is later; `now` if there are no peers. This controller's own
+    /// controller's view: the start of its latest read of the state, `last_read_at`, or the oldest of the
+    /// times guaranteed by the peers, whichever is later; `now` if there are no peers. This controller's own
     /// cancellations are in its view before they are confirmed.
     pub fn cancellation_watermark<'a>(
         &self,
--- a/src/membership/records.rs
+++ b/src/membership/records.rs
@@ -48,7 +48,7 @@
 /// Maximum number of times that the stabilisation time doubles, which first happens at the second restart.
 /// A longer time would leave one controller with all machines for as long after the last restart.
 const MAX_STABILISATION_DOUBLINGS: u32 = 1;
-/// Restarts in quick succession from which on a member counts as flapping.
+/// Number of restarts in quick succession at which a member counts as flapping.
 const FLAPPING_RESTART_COUNT: u32 = 2;
 
 impl Member {
--- a/src/membership/shard_assignment.rs
+++ b/src/membership/shard_assignment.rs
@@ -34,9 +34,10 @@
     stable_hash(&format!("{shard}@{node}"))
 }
 
-/// Returns the desired owner of each shard at the wall-clock time `now`, in microseconds. Live owners keep
-/// their shards; the others go to the least loaded member that is not flapping, ties by rendezvous hash;
-/// then shards move to members that have stabilised until the load is even. Empty if there are no members.
+/// Returns the desired owner of each shard at the wall-clock time `now`, in microseconds. Live owners that
+/// workers can reach keep their shards; the others go to the least loaded such member that is not flapping,
+/// ties by rendezvous hash; then shards move to members that have stabilised until the load is even. If
+/// workers can reach no member, all members are considered. Empty if there are no members.
 pub fn assign_shards(
     shards: &BTreeMap<u32, Shard>,
     members: &BTreeMap<String, Member>,
--- a/src/scheduling/backfill.rs
+++ b/src/scheduling/backfill.rs
@@ -20,8 +20,8 @@
 
 impl GpuDemand {
     /// Computes the demand. `all_kinds` is whether this run considers all waiting jobs. A run that is
-    /// restricted to services reads no other jobs, so it offers the resources that GPU tasks leave
-    /// free to none of them.
+    /// restricted to services reads no other jobs and places no backfill tasks, so it does not need to
+    /// know whether a GPU task is waiting.
     pub(super) fn of(view: &ClusterState, all_kinds: bool) -> GpuDemand {
         let mut largest_task = Resources::default();
         for [cpus, gpus, memory] in view.indexes().gpu_task_sizes.keys() {
--- a/src/scheduling/gang_reservation.rs
+++ b/src/scheduling/gang_reservation.rs
@@ -42,8 +42,8 @@
 
 /// Reserves quota for one gang of each team whose limit keeps work waiting: the gang with the longest
 /// waiting time for its size, if there are enough machines for it. Otherwise nothing is reserved. A
-/// forecast, which causes missing machines to be provisioned, reserves quota in any case: it assumes that
-/// the team's arrays will have released their resources by the time those machines are up.
+/// forecast, which causes missing machines to be provisioned, reserves quota even if machines are missing:
+/// it assumes that the team's arrays will have released their resources by the time those machines are up.
 pub(super) fn reserve_for_gangs<'a>(input: &SchedulingInput<'a>, quotas: &mut QuotaLedger<'a>) {
     for gang in next_gang_by_team(input, quotas).into_values() {
         let spec = &gang.job.spec;
--- a/src/scheduling/input.rs
+++ b/src/scheduling/input.rs
@@ -37,10 +37,10 @@
     /// Resources of tasks that have certainly ended on their machines although the task blocks do not
     /// record it yet: that record may be written later.
     pub released_resources: &'a HashMap<MachineId, Resources>,
-    /// Returns whether a job is in back-off and must not be scheduled now.
+    /// Returns whether a job is in backoff and must not be scheduled now.
     pub in_backoff: &'a dyn Fn(&str) -> bool,
-    /// Returns whether this controller owns a job. Tasks of owned jobs come first, and may preempt without
-    /// delay.
+    /// Returns whether this controller owns a job. Tasks of owned jobs come first among jobs of equal
+    /// priority, and may preempt without delay.
     pub owns_job: &'a dyn Fn(&str) -> bool,
     /// Returns whether this controller owns a machine.
     pub owns_machine: &'a dyn Fn(&str) -> bool,
--- a/src/scheduling/mod.rs
+++ b/src/scheduling/mod.rs
@@ -1,7 +1,7 @@
 //! Scheduling: assigns waiting tasks to machines and chooses the tasks to preempt for them. A pure function
 //! of the cluster state and of the reports of the workers on a controller's machines. Each controller
-//! schedules on the machines of the shards that it owns: first the waiting tasks of jobs that it owns, in
-//! priority order, then other owners' jobs on the remaining resources. One controller places gangs, on all
+//! schedules on the machines of the shards that it owns: waiting tasks in priority order, and among jobs
+//! of equal priority those that it owns before other owners' jobs. One controller places gangs, on all
 //! machines. Conflicts that remain are resolved by conditional writes.
 //!
 //! Identical tasks are placed together: the cost grows with the number of jobs and of machines with free
@@ -40,7 +40,7 @@
         draining::drain_machines(input, &mut schedule.changes);
     }
     let mut queue = queue::collect(input, &quotas);
-    // A run for services only places no tasks to which these reservations apply.
+    // A run for services only has no gangs in its queue, and only gangs benefit from these reservations.
     if input.place_deadline_steps {
         gang_reservation::reserve_for_gangs(input, &mut quotas);
     }
--- a/src/scheduling/pending_reason.rs
+++ b/src/scheduling/pending_reason.rs
@@ -16,10 +16,10 @@
     Dependency,
     /// Tasks of the gang's last attempt are still on their machines: all its tasks start together.
     LastAttempt,
-    /// Its tasks failed recently and the job is in back-off.
+    /// Its tasks failed recently and the job is in backoff.
     #[serde(rename = "failed")]
     Backoff,
-    /// Its team's quota is exhausted.
+    /// Its team's quota holds back some of its tasks.
     #[serde(rename = "limit")]
     TeamLimit,
     /// No machine that it may use has enough free resources.
@@ -68,7 +68,8 @@
     })
 }
 
-/// Reason for which a job is pending and the number of its tasks; `None` if no task is pending.
+/// Reason for which a job is pending and the number of tasks that it applies to; `None` if no task is
+/// pending.
 pub type PendingStatus = Option<(PendingReason, u32)>;
 
 /// Number of pending jobs and tasks and age in seconds of the oldest job, by team and reason.
--- a/src/scheduling/queue.rs
+++ b/src/scheduling/queue.rs
@@ -22,7 +22,7 @@
 /// Position among jobs of equal priority; lower comes first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct QueuePosition {
-    /// Whether no objective of the job's class can still be met.
+    /// Whether the job can no longer meet any objective of its class.
     objective_missed: bool,
     /// Amount of waiting work, or the latest start time of a pipeline step.
     sort_key: u64,
--- a/src/scheduling/scheduler.rs
+++ b/src/scheduling/scheduler.rs
@@ -248,8 +248,8 @@
     }
 
     /// Returns whether earlier entries showed that no machine has free resources for these tasks and that
-    /// nothing can be preempted. Not for an owned service: it may also run on machines of other owners, which
-    /// earlier entries of its shape may have been unable to use.
+    /// nothing can be preempted. Always false for an owned service: it may also run on machines of other
+    /// owners, which earlier entries of its shape may have been unable to use.
     fn cannot_be_placed(
         &self,
         entry: &QueueEntry<'a>,
--- a/src/scheduling/starvation.rs
+++ b/src/scheduling/starvation.rs
@@ -68,7 +68,7 @@
         && is_overdue(input, job)
 }
 
-/// Returns the resources of the running and waiting array tasks of each class.
+/// Returns the CPU demand of each class's running and waiting array tasks.
 fn class_demands<'a>(
     input: &SchedulingInput<'a>,
     scopes: &Scopes<'a>,
