--- a/src/fairness/minimum_share.rs
+++ b/src/fairness/minimum_share.rs
@@ -91,8 +91,8 @@
 }
 
 /// Returns for each class the CPUs, in thousandths, that its waiting tasks may use now as if they had the
-/// highest priority among arrays. All starved classes together get `MINIMUM_SHARE` of the CPUs in use, in equal
-/// parts, minus the CPUs that they use already: a class that uses its part is not raised above its
+/// highest priority among arrays. All starved classes together get `MINIMUM_SHARE` of the CPUs in use, in
+/// equal parts, minus the CPUs that they use already: a class that uses its part is not raised above its
 /// priority.
 pub fn minimum_share(classes: &[ClassDemand]) -> Vec<i64> {
     let max_run_time_us = classes
--- a/src/fairness/minimum_share/tests.rs
+++ b/src/fairness/minimum_share/tests.rs
@@ -57,8 +57,8 @@
     })]
 
     /// For any classes: the sum of the minimum shares stays within `MINIMUM_SHARE`, no class of the highest
-    /// priority has a minimum share, and an overdue class without running tasks always gets one while a
-    /// class of higher priority runs.
+    /// priority has a minimum share, and an overdue class that has waiting but no running tasks always gets
+    /// one while a class of higher priority uses more than 10 CPUs.
     #[test]
     fn minimum_shares_are_bounded_and_reach_starved_classes(
         classes in proptest::collection::vec((0usize..4, 0i64..50, 0i64..50, any::<bool>()), 1..6),
--- a/src/fairness/mod.rs
+++ b/src/fairness/mod.rs
@@ -47,9 +47,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32)", into = "(u32, u32)")]
 pub struct PriorityBoost {
-    /// Number of waiting tasks that are boosted: Δ of equation 6, minus the tasks started since.
+    /// Number of waiting tasks that are boosted: Δ of equation 6, limited to the tasks that still wait.
     pub tasks: u32,
-    /// Boost level. Higher levels are placed first; 0 means no boost.
+    /// Boost level; 0 means no boost. Boosts of later rounds have higher levels, but the scheduling queue
+    /// treats all levels above 0 alike.
     pub level: u32,
 }
 
--- a/src/fairness/service_levels.rs
+++ b/src/fairness/service_levels.rs
@@ -36,7 +36,7 @@
     pub ended: BTreeMap<String, ClassTotals>,
 }
 
-/// The end of one job, as read from the state service.
+/// The end of one job, as observed in the cluster state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobEnd {
     /// Revision at which the job record was deleted.
@@ -115,8 +115,8 @@
     job.placed > 0 || job.done > 0 || job.task_states().any(|(_, task)| task.last_attempt() > 0)
 }
 
-/// Returns the service levels of all classes and teams. A job that waits for its dependencies is counted
-/// only after these have finished.
+/// Returns the service levels of all classes and teams. A job with dependencies is counted, and its waiting
+/// time starts, only after these have finished.
 pub fn service_level_rows(
     view: &ClusterState,
     objectives: &[Objective],
--- a/src/fairness/value_limit.rs
+++ b/src/fairness/value_limit.rs
@@ -8,9 +8,9 @@
 /// Bytes of the quotes, colon and comma of one entry.
 const ENTRY_OVERHEAD_BYTES: usize = 4;
 
-/// Returns the entries that fit into `max_bytes` as JSON, in descending order of `priority`. A job whose
-/// counts are left out is treated as a job without finished tasks (T and P are 1), and a job whose boost
-/// is left out has the same level as other jobs without a boost.
+/// Returns the entries that fit into `max_bytes` as JSON, preferring those of the highest `priority`. A job
+/// whose counts are left out is treated as a job without finished tasks (T and P are 1), and a job whose
+/// boost is left out has the same level as other jobs without a boost.
 pub fn truncate_to_size<T: serde::Serialize, W: Ord>(
     entries: BTreeMap<String, T>,
     max_bytes: usize,
--- a/src/reconciliation/decide.rs
+++ b/src/reconciliation/decide.rs
@@ -336,7 +336,7 @@
     }
 
     /// Stages changes while the budget is at least the `reserve` share of its burst. Requests of users
-    /// who wait for an answer have precedence over all of these writes, and changes that cannot be
+    /// who wait for a response have precedence over all of these writes, and transactions that cannot be
     /// written now are not computed.
     fn add(&mut self, changes: &[JobChange], reserve: f64) {
         let input = self.input;
--- a/src/reconciliation/mod.rs
+++ b/src/reconciliation/mod.rs
@@ -40,7 +40,8 @@
 /// Minimum ratio of the full sweep interval to the duration of the last full sweep, so that sweeps of a
 /// large cluster do not use all processor time.
 const MIN_INTERVAL_TO_SWEEP_RATIO: u64 = 12;
-/// Interval at which overdue heartbeats are checked and machine records written.
+/// Interval at which machine records are written and machines that are due for a call are determined, for
+/// example those with an overdue heartbeat.
 const HEARTBEAT_CHECK_INTERVAL: Micros = SECOND / 5;
 /// Time for which the jobs of a rejected transaction stay in flight, so that it is not retried at once.
 const REFUSAL_RETRY_DELAY: Micros = SECOND / 8;
@@ -182,9 +183,9 @@
         );
     }
 
-    /// Updates the registry of the machines in this controller's shards: at every check, immediately after a
-    /// term changes, and after machines are added or removed at most every `HEARTBEAT_CHECK_INTERVAL`,
-    /// since on a large cluster this happens all the time.
+    /// Updates the registry of the machines in this controller's shards: at every machine check, immediately
+    /// after a term changes, and after machines are added or removed. On a large cluster the last happens
+    /// all the time, so it causes at most one update every `HEARTBEAT_CHECK_INTERVAL`.
     fn sync_machines_if_due(&self, view: &ClusterState, scope: &PassScope) {
         let changed = {
             let last = self.reconciler.machine_sync.borrow();
@@ -258,7 +259,7 @@
         WriteBudget { available, burst }
     }
 
-    /// Writes the machine records and adds machines with an overdue heartbeat to the scope, if a check is
+    /// Writes the machine records and adds the machines that are due for a call to the scope, if a check is
     /// due.
     fn check_heartbeats_if_due(self: &Rc<Controller>, scope: &mut PassScope) {
         let now = scope.now;
--- a/src/workers/heartbeat.rs
+++ b/src/workers/heartbeat.rs
@@ -26,7 +26,7 @@
 /// Changes that resulted from a message.
 #[derive(Default)]
 pub struct HeartbeatOutcome {
-    /// Whether the message changed the worker's state.
+    /// Whether the message reported a change of session, fencing token, preemption notice or tasks.
     pub changed: bool,
     /// Tasks that completed.
     pub finished: Vec<FinishedTask>,
--- a/src/workers/heartbeat_handler.rs
+++ b/src/workers/heartbeat_handler.rs
@@ -16,7 +16,7 @@
 use crate::wire::server::Response;
 use crate::wire::worker::{Command, CommandBatch, Heartbeat, LeaderRedirect};
 
-/// Maximum number of commands in one message to a worker, whose size limit is 64 KiB.
+/// Maximum number of commands in one message to a worker. The size limit of a message is 64 KiB.
 pub(super) const MAX_COMMANDS_PER_MESSAGE: usize = 400;
 
 /// Returns the name of the controller to which a controller that does not own the shard redirects a
@@ -106,8 +106,8 @@
         let outcome = worker.apply_heartbeat(heartbeat, HeartbeatSource::Periodic, now);
         // The answer to an old or repeated message has no commands, but it renews the lease.
         worker.heartbeat.last_answered_at = Some(now);
-        // Usually a heartbeat repeats the previous one and no record of the machine has changed since,
-        // so that no commands need to be computed.
+        // Usually a heartbeat repeats the previous one, and neither the machine's record nor its task
+        // blocks have changed since, so that no commands need to be computed.
         let needs_commands =
             newer && (!worker.outstanding.quiescent || view.changed_machines.contains(machine));
         if !needs_commands {
--- a/src/workers/inbound_partition.rs
+++ b/src/workers/inbound_partition.rs
@@ -11,7 +11,8 @@
 use std::collections::BTreeMap;
 
 /// Number of calls answered without a heartbeat in between after which a worker counts as partitioned.
-/// A worker whose first attempt reaches no controller has tried all of them by then.
+/// Fewer may be chance, but a worker that reaches no controller at its first attempt has tried all
+/// controllers by then.
 const PARTITION_ANSWERED_CALL_COUNT: u32 = 3;
 /// Number of lease durations without a heartbeat after which a machine is replaced.
 const REPLACEMENT_LEASE_COUNT: u64 = 3;
--- a/src/workers/liveness.rs
+++ b/src/workers/liveness.rs
@@ -18,8 +18,8 @@
 /// fire late.
 const LEASE_EXPIRY_MARGIN: Micros = SECOND;
 
-/// Returns the longest time that a lease may take by the worker's clock. Clocks drift by at most one in
-/// a thousand.
+/// Returns the longest time for which a lease may last on a worker whose clock runs slow. Clocks drift
+/// by at most one in a thousand.
 fn with_clock_drift(lease: Micros) -> Micros {
     lease + lease / 1000
 }
@@ -53,8 +53,8 @@
 
     /// Returns whether to declare the machine dead, so that it is terminated with all its tasks. It is
     /// dead if two calls went unanswered with another machine in contact in between, or if there was no
-    /// contact for longer than `2 * heartbeat_timeout` and this controller is not isolated. One missed call is
-    /// not enough: when a partition begins, each machine misses a call before the isolation is
+    /// contact for longer than `2 * heartbeat_timeout` and this controller is not isolated. One missed
+    /// call is not enough: when a partition begins, each machine misses a call before the isolation is
     /// detected.
     pub fn declared_dead(&self, heartbeat_timeout: Micros, now: Micros, isolated: bool) -> bool {
         let time_since_contact = self.time_since_contact(now);
--- a/src/workers/machine_records.rs
+++ b/src/workers/machine_records.rs
@@ -24,7 +24,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Retry delay after a write whose preconditions did not hold; the watch delivers the change by then.
+/// Time for which a rejected write still counts as in flight for its machines, so that it is not retried
+/// at once.
 const REFUSAL_RETRY_DELAY: Micros = SECOND / 4;
 
 /// Values that are the same for all machines in one round of writes.
--- a/src/workers/probing.rs
+++ b/src/workers/probing.rs
@@ -13,8 +13,8 @@
 use foldhash::HashSet;
 use std::collections::BTreeMap;
 
-/// Shortest time without contact after which machines with replicas are probed, slightly longer than a
-/// call may take.
+/// Shortest time without contact after which machines with replicas are probed. It is longer than the
+/// timeout of a probe.
 const MIN_PROBE_INTERVAL: Micros = 4 * SECOND / 5;
 /// Number of probes per second for a whole core. At 0.3 ms each they take a thirteenth of the core.
 const PROBES_PER_CORE_SECOND: f64 = 250.0;
@@ -46,7 +46,7 @@
 
 impl Controller {
     /// Adds to `changed` the machines that have to be called although nothing changed: those without
-    /// contact for too long, those not fenced yet, and those deferred after a failed call.
+    /// contact for too long, those not fenced yet, and those whose retry delay after a call has passed.
     pub fn add_machines_due_for_call(&self, now: Micros, changed: &mut HashSet<MachineId>) {
         let view = self.watch_cache.view();
         let mut machines = self.workers.machines.borrow_mut();
@@ -97,7 +97,7 @@
 
 /// Returns the time without contact after which machines with replicas are probed, for this number of
 /// such machines. The probes divide the time between two heartbeats evenly; their number is limited by
-/// the processor time reserved for probes. `cpu_share` is the share of a CPU that this controller
+/// the processor time reserved for probes. `cpu_share` is the share of a CPU core that this controller
 /// has; 0 means unknown and is treated as a whole core.
 fn probe_interval_for(machine_count: usize, cpu_share: f64, heartbeat_interval: Micros) -> Micros {
     let share = if cpu_share > 0.0 { cpu_share } else { 1.0 };
--- a/src/workers/registry.rs
+++ b/src/workers/registry.rs
@@ -81,8 +81,8 @@
     }
 
     /// Returns the machines that need commands, are not fenced, or have had no contact for longer than
-    /// `timeout`. All others were checked when their last message, or the last change of their records,
-    /// arrived.
+    /// `timeout`. All others were checked when their last message, or the last change of their record or
+    /// tasks, arrived.
     pub fn machines_to_check(&self, timeout: Micros, now: Micros) -> HashSet<MachineId> {
         let mut out = self.machines_to_check.borrow().clone();
         let machines = self.machines.borrow();
--- a/src/workers/tests.rs
+++ b/src/workers/tests.rs
@@ -170,8 +170,8 @@
 }
 
 /// Guards against an isolated controller that declares machines dead because all its calls go
-/// unanswered. A machine is dead only if it misses a call that was sent after contact with another
-/// machine.
+/// unanswered. Missed calls confirm that a machine is dead only if one of them was sent after contact
+/// with another machine. A long time without contact is sufficient only without isolation.
 #[test]
 fn isolated_controller_declares_no_machine_dead() {
     let mut worker = WorkerState::new(5, 0);
