--- a/src/jobs/api/cancellation.rs
+++ b/src/jobs/api/cancellation.rs
@@ -1,5 +1,5 @@
-//! Cancellation of a job. It is confirmed to the user after the durable write, and never during a
-//! confirmation hold.
+//! Cancellation of a job. It is confirmed to the user after the durable write and, while the job is
+//! unfinished, never during a confirmation hold.
 
 use super::super::commit::cancel;
 use super::super::model::JobId;
--- a/src/jobs/api/job_state.rs
+++ b/src/jobs/api/job_state.rs
@@ -78,8 +78,8 @@
 
     /// Reads the final states of those direct and indirect dependencies that are missing in the watch
     /// cache. They determine the job's state: once a user has received the answer that a dependency is
-    /// cancelled, this job must not be reported as anything else. A dependency without a stored final state
-    /// leaves the job's state undecided.
+    /// cancelled, this job must not be reported as anything else. That no final state of a dependency is
+    /// found proves nothing, so the job's state is then unavailable.
     async fn read_unknown_ancestors(&self, id: &str) -> Result<(), StateUnavailable> {
         let unknown = self.watch_cache.view().unknown_ancestors(id);
         for dependency in unknown {
--- a/src/jobs/commit/block_writer.rs
+++ b/src/jobs/commit/block_writer.rs
@@ -1,10 +1,10 @@
 //! Writes task blocks in their stored form, and splits blocks that are too large for one value.
 //!
-//! A block has up to [`TASKS_PER_BLOCK`] slots, independent of the present limit for the size of a value. In the
-//! packed form, equal slots share an entry. A block that is still too large is split into parts, which
-//! are keys with fewer slots each; later writes change only the parts that differ. The marker of a split
-//! block and the last of its parts are written in one transaction, so that readers never see the marker
-//! without all parts.
+//! A block has up to [`TASKS_PER_BLOCK`] slots, each with the state of one task, independent of the present
+//! limit for the size of a value. In the packed form, equal slots share an entry. A block that is still
+//! too large is split into parts, which are keys with fewer slots each; later writes change only the parts
+//! that differ. The marker of a split block and the last of its parts are written in one transaction, so
+//! that readers never see the marker without all parts.
 
 use super::draft::{ESTIMATED_RECORD_BYTES, TransactionDraft, put};
 use super::limits::TransactionLimits;
--- a/src/jobs/commit/job_transaction.rs
+++ b/src/jobs/commit/job_transaction.rs
@@ -376,7 +376,7 @@
     }
 
     /// Deletes the blocks after the first one, as far as they were written. The job's final state was
-    /// determined from the blocks in the view, so their versions are preconditions.
+    /// determined from the blocks in the view, so their versions are preconditions, as far as these fit.
     fn delete_blocks_with_preconditions(&mut self) {
         let max_preconditions = self.limits.max_preconditions_with_reserve();
         for index in 1..self.job.blocks.len() as u32 {
--- a/src/jobs/model/resources.rs
+++ b/src/jobs/model/resources.rs
@@ -87,7 +87,7 @@
     pub service_cpus: i64,
     /// CPUs of array tasks that services may preempt, in thousandths.
     pub preemptible_cpus: i64,
-    /// Number of backfill tasks, on machines with GPUs.
+    /// Number of tasks of jobs for which [`JobSpec::is_backfill`] holds. Used only for machines with GPUs.
     pub backfill_tasks: u32,
 }
 
--- a/src/jobs/pipelines.rs
+++ b/src/jobs/pipelines.rs
@@ -12,8 +12,8 @@
 /// Result of checking the dependencies of a submission against the cluster state.
 #[derive(Debug, PartialEq)]
 pub enum DependencyCheck {
-    /// The dependencies that have to be stored: those that are not done or, if one of them is cancelled,
-    /// only that one, because it determines the final state of the new job.
+    /// The dependencies that have to be stored: those that are not done or, if one of them has ended as
+    /// cancelled, only that one, because it determines the final state of the new job.
     Accepted(Vec<JobId>),
     /// Jobs that are neither among the unfinished jobs nor among the known final states: their final states
     /// have to be read.
--- a/src/store/cluster_state/dependencies.rs
+++ b/src/store/cluster_state/dependencies.rs
@@ -197,7 +197,7 @@
         urgency
     }
 
-    /// Returns the direct and transitive dependencies of a job that are unknown: neither unfinished jobs nor
+    /// Returns the direct and indirect dependencies of a job that are unknown: neither unfinished jobs nor
     /// jobs with a known final state. Until they are known, the state of this job cannot be determined.
     pub fn unknown_ancestors(&self, id: &str) -> Vec<JobId> {
         let mut unknown = Vec::new();
@@ -230,8 +230,9 @@
             .collect()
     }
 
-    /// Returns the number of tasks that may start now, or, if all tasks of all unfinished dependencies are
-    /// running, within about the time that a machine takes to boot.
+    /// Returns the number of tasks that may start now or soon. While the job waits for dependencies, its
+    /// waiting tasks count only if each dependency has finished or runs without waiting tasks: they may then
+    /// start within about the time that a machine takes to boot.
     pub fn queued_or_soon_ready(&self, job: &Job) -> u32 {
         if job.ready || job.cancelled() {
             return job.queued();
--- a/src/store/cluster_state/job.rs
+++ b/src/store/cluster_state/job.rs
@@ -28,17 +28,17 @@
     /// Whether every job that it depends on is durably recorded as `done`. All code that starts, provisions
     /// for or counts tasks relies on this flag: an unknown dependency is not proven to be done.
     pub ready: bool,
-    /// Whether a direct or transitive dependency is cancelled, which cancels this job as well. This job never
+    /// Whether a direct or indirect dependency is cancelled, which cancels this job as well. This job never
     /// started, because that dependency was never done.
     pub dependency_cancelled: bool,
     /// Whether a peer reported its cancellation before the updated record was read. In the state service the
     /// job is cancelled.
     pub cancelled_by_digest: bool,
-    /// Start of its waiting time, as time of day: its submission or the end of its last dependency.
+    /// Start of its waiting time, as wall-clock time: its submission or the end of its last dependency.
     pub waiting_since: Micros,
     /// Highest priority among its own and those of its dependents.
     pub priority: Priority,
-    /// Latest end, as time of day, with which its pipeline still meets its deadline.
+    /// Latest end, as wall-clock time, with which its pipeline still meets its deadline.
     pub deadline_at: Option<Micros>,
     /// Deadline, relative to its submission, of the job from which `deadline_at` is derived.
     pub deadline_after_submission: Micros,
@@ -46,7 +46,7 @@
     pub in_pipeline: bool,
 }
 
-/// Returns the deadline in a job's own specification, as time of day.
+/// Returns the deadline in a job's own specification, as wall-clock time.
 pub(super) fn own_deadline(spec: &JobSpec) -> Option<Micros> {
     spec.deadline.map(|deadline| spec.submitted_at + deadline)
 }
--- a/src/store/cluster_state/key_versions.rs
+++ b/src/store/cluster_state/key_versions.rs
@@ -76,8 +76,8 @@
         self.versions.remove(key);
     }
 
-    /// Returns the known keys under a prefix that are not in the list read at a revision and not newer than
-    /// it.
+    /// Returns the known keys under a prefix that are missing in the list read at a revision, without keys
+    /// that are newer than this revision.
     pub(super) fn unlisted_keys(
         &self,
         prefix: &str,
--- a/src/store/cluster_state/machines.rs
+++ b/src/store/cluster_state/machines.rs
@@ -126,8 +126,8 @@
     /// after all, or it is terminated and its key deleted.
     fn end_termination(&mut self, id: &MachineId) {
         if self.terminating.remove(id) == Some(TerminationProgress::Terminated) {
-            // The cloud's machine list lags and may still contain the machine for a while, so that a
-            // controller writes its key again. The tombstone makes such writes ineffective.
+            // The cloud's machine list lags and may still contain the machine for a while, which causes
+            // a controller to write its key again. The tombstone makes such writes ineffective.
             self.key_versions.set_tombstone(keys::machine(id), u64::MAX);
         }
         if let Some(own_state) = self.overridden_states.remove(id)
--- a/src/store/cluster_state/mod.rs
+++ b/src/store/cluster_state/mod.rs
@@ -83,7 +83,7 @@
     terminating: HashMap<MachineId, TerminationProgress>,
     /// State in the machine's own key, for machines whose state a termination batch overrides.
     overridden_states: HashMap<MachineId, MachineState>,
-    /// Job counts of the controllers, by controller name.
+    /// Task counts of each controller, by controller name.
     pub counts: BTreeMap<String, TaskCounts>,
     /// Priority boosts of the last fairness round.
     pub priority_boosts: PriorityBoosts,
@@ -164,7 +164,7 @@
             self.change_count += 1;
             // The job ended between the last revision applied here and the revision of the read. Its end is
             // recorded at the start of this interval: a leader that already included it in the totals has
-            // done so at a later revision.
+            // done so at a later revision, so that it is not counted twice.
             let interval_start = self.revision.saturating_add(1).min(revision);
             self.record_job_end(&key, interval_start);
             self.apply(&key, None);
--- a/src/store/keys.rs
+++ b/src/store/keys.rs
@@ -148,7 +148,7 @@
 pub fn termination_batch(name: &str) -> String {
     format!("c/leaving/{name}")
 }
-/// Returns the key of a controller's job counts, which it takes from the heartbeats of its machines.
+/// Returns the key of a controller's task counts, which it takes from the heartbeats of its machines.
 pub fn counts(controller: &str) -> String {
     format!("c/counts/{controller}")
 }
@@ -156,8 +156,8 @@
 pub fn member(controller: &str) -> String {
     format!("c/member/{controller}")
 }
-/// Returns the key of the version with which a controller was started, which determines the layouts that it
-/// can read.
+/// Returns the key of the layout version that a controller has recorded as supported when it was started with
+/// a program version that supports it.
 pub fn version(controller: &str) -> String {
     format!("c/version/{controller}")
 }
--- a/src/store/watch_cache.rs
+++ b/src/store/watch_cache.rs
@@ -71,7 +71,7 @@
 struct ReadTimes {
     /// Time at which the request was sent.
     sent_at: Micros,
-    /// Time at or before which the service sent the response, or an estimate of it.
+    /// Time not later than the one at which the service sent the response, or an estimate of it.
     current_at: Micros,
 }
 
--- a/src/store/watch_cache/linearizable_read.rs
+++ b/src/store/watch_cache/linearizable_read.rs
@@ -11,7 +11,7 @@
 
 impl WatchCache {
     /// Waits for a read that started after the call, so that everything committed before the call is in the
-    /// state. Returns false if the state is not loaded or the state service does not respond.
+    /// state. Returns false if the state is not loaded or the read fails.
     pub async fn linearizable_read(&self) -> bool {
         if !self.loaded.get() {
             return false;
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Reads the log up to the current revision. Returns false if the state service does not respond.
+    /// Reads the log up to the current revision. Returns false if the request fails or the required part of
+    /// the log was compacted.
     async fn read_log(&self) -> bool {
         let sent_at = self.clock.now();
         let after = self.state.borrow().revision;
