--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -168,6 +168,18 @@
             }],
         });
     }
+
+    /// Applies all changes from `log_position` on to a view, and moves the position to the end of the log.
+    pub(crate) fn update_view(&self, view: &mut ClusterState, log_position: &mut usize) {
+        for (revision, key, value) in &self.log[*log_position..] {
+            match value {
+                Some(value) => view.put(key, value, *revision),
+                None => view.delete(key, *revision),
+            }
+        }
+        *log_position = self.log.len();
+        view.revision = self.rev;
+    }
 }
 
 /// Returns the indexes computed from scratch from all jobs and machines.
--- a/tests/completion_races.rs
+++ b/tests/completion_races.rs
@@ -93,14 +93,8 @@
     /// Applies all changes in the state service to the view of a controller.
     fn sync(&mut self, node: usize) {
         let controller = &mut self.controllers[node];
-        for (revision, key, value) in &self.store.log[controller.log_position..] {
-            match value {
-                Some(value) => controller.view.put(key, value, *revision),
-                None => controller.view.delete(key, *revision),
-            }
-        }
-        controller.log_position = self.store.log.len();
-        controller.view.revision = self.store.rev;
+        self.store
+            .update_view(&mut controller.view, &mut controller.log_position);
     }
 
     /// Sends a transaction and returns whether it was applied and answered; its mutations are then in the view. The
--- a/tests/external_names/collector.rs
+++ b/tests/external_names/collector.rs
@@ -67,16 +67,25 @@
         }
     }
 
-    fn add_fields(&mut self, kind: &'static str, fields: &Fields, rename_all: Option<&str>) {
+    /// Adds the outer name of a field or variant, and its aliases.
+    fn add_outer_names(
+        &mut self,
+        kind: &'static str,
+        outer: OuterName,
+        rust_name: &str,
+        case: Option<&str>,
+    ) {
+        let name = outer.renamed.unwrap_or_else(|| apply_case(rust_name, case));
+        self.add(kind, name);
+        for alias in outer.aliases {
+            self.add(kind, alias);
+        }
+    }
+
+    fn add_fields(&mut self, kind: &'static str, fields: &Fields, case: Option<&str>) {
         for field in fields {
-            let Some(ident) = &field.ident else { continue };
-            let outer = outer_name(&field.attrs);
-            let name = outer
-                .renamed
-                .unwrap_or_else(|| apply_case(&ident.to_string(), rename_all));
-            self.add(kind, name);
-            for alias in outer.aliases {
-                self.add(kind, alias);
+            if let Some(ident) = &field.ident {
+                self.add_outer_names(kind, outer_name(&field.attrs), &ident.to_string(), case);
             }
         }
     }
@@ -84,19 +93,12 @@
     fn add_variants(&mut self, kind: &'static str, item: &ItemEnum, container: &OuterName) {
         let fields_kind = if kind == "command" { "flag" } else { kind };
         let fields_case = (fields_kind == "flag").then_some("kebab-case");
+        let case = container.rename_all.as_deref();
         for variant in &item.variants {
-            let outer = outer_name(&variant.attrs);
             self.add_fields(fields_kind, &variant.fields, fields_case);
-            if container.hidden {
-                continue;
-            }
-            let rust_name = variant.ident.to_string();
-            let name = outer
-                .renamed
-                .unwrap_or_else(|| apply_case(&rust_name, container.rename_all.as_deref()));
-            self.add(kind, name);
-            for alias in outer.aliases {
-                self.add(kind, alias);
+            if !container.hidden {
+                let outer = outer_name(&variant.attrs);
+                self.add_outer_names(kind, outer, &variant.ident.to_string(), case);
             }
         }
     }
@@ -104,21 +106,18 @@
     /// Field names of one log line: all arguments in front of the message.
     fn add_log_fields(&mut self, tokens: &TokenStream) {
         for argument in split_at_commas(tokens) {
-            let Some(first) = argument.iter().find(|token| !is_sigil(token)) else {
-                continue;
-            };
-            match first {
-                TokenTree::Ident(ident) => {
-                    let name = argument
-                        .iter()
-                        .skip_while(|token| is_sigil(token))
-                        .take_while(|token| !is_punctuation(token, '='))
-                        .map(ToString::to_string)
-                        .collect::<String>();
-                    debug_assert!(name.starts_with(&ident.to_string()));
+            let name: Vec<&TokenTree> = argument
+                .iter()
+                .skip_while(|token| is_sigil(token))
+                .take_while(|token| !is_punctuation(token, '='))
+                .collect();
+            match name.first() {
+                Some(TokenTree::Ident(_)) => {
+                    let name: String = name.iter().map(ToString::to_string).collect();
                     self.add("log", name);
                 }
-                _ => break,
+                Some(_) => break,
+                None => {}
             }
         }
     }
--- a/tests/incarnations.rs
+++ b/tests/incarnations.rs
@@ -142,14 +142,8 @@
         let Some(process) = &mut self.processes[node] else {
             return;
         };
-        for (revision, key, value) in &self.store.log[process.log_position..] {
-            match value {
-                Some(value) => process.view.put(key, value, *revision),
-                None => process.view.delete(key, *revision),
-            }
-        }
-        process.log_position = self.store.log.len();
-        process.view.revision = self.store.rev;
+        self.store
+            .update_view(&mut process.view, &mut process.log_position);
     }
 
     /// Sends a transaction. The generated `outcome` selects one of: applied and answered, applied without an answer and
--- a/tests/invariants/controllers.rs
+++ b/tests/invariants/controllers.rs
@@ -42,15 +42,9 @@
             self.store.put(key, &member);
         }
         let controller = &mut self.controllers[controller_index];
-        for (revision, path, value) in &self.store.log[controller.log_position..] {
-            match value {
-                Some(value) => controller.view.put(path, value, *revision),
-                None => controller.view.delete(path, *revision),
-            }
-        }
-        controller.log_position = self.store.log.len();
+        self.store
+            .update_view(&mut controller.view, &mut controller.log_position);
         controller.synced_at = self.now;
-        controller.view.revision = self.store.rev;
     }
 
     /// Returns the term under which a controller owns a shard, according to its view.
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -222,14 +222,8 @@
 
     fn sync(&mut self, controller: usize) {
         let state = &mut self.controllers[controller];
-        for (revision, key, value) in &self.store.log[state.log_position..] {
-            match value {
-                Some(value) => state.view.put(key, value, *revision),
-                None => state.view.delete(key, *revision),
-            }
-        }
-        state.log_position = self.store.log.len();
-        state.view.revision = self.store.rev;
+        self.store
+            .update_view(&mut state.view, &mut state.log_position);
         common::indexed(&state.view);
     }
 
